--- a/basaltport/cold_start/routine.py
+++ b/basaltport/cold_start/routine.py
@@ -1,6 +1,7 @@
 """ADR 0041 in a router node: the cache, the shared wait, the error phases, one resend after readiness."""
 
 import basaltport.query_api.failure_detection.duties as duties
+import basaltport.rendezvous as rendezvous
 import basaltport.log_events as log_events
 import basaltport.messages as messages
 import basaltport.cold_start.limits as limits
@@ -126,7 +127,9 @@
         held = {z for z, r in self.holders.get(item, []) if self.may_use(r)}
         base = self.near.get(item.base(), ())
         roomy = {z for z in zs if self.has_room(z, item)}
-        zs.sort(key=lambda z: (z not in held, z not in base, z not in roomy, -duties.weight(item.base(), z)))
+        zs.sort(
+            key=lambda z: (z not in held, z not in base, z not in roomy, -rendezvous.weight(item.base(), z))
+        )
         return zs
 
     def ask_next(self, w):
--- a/basaltport/consensus/book.py
+++ b/basaltport/consensus/book.py
@@ -3,11 +3,11 @@
 import hashlib
 import json
 
-import basaltport.query_api.failure_detection.ring as ring
+import basaltport.hash_ring as hash_ring
 import basaltport.configuration.patch as patch
 import basaltport.configuration.routes as routes
 import basaltport.identifiers as identifiers
-import basaltport.query_api.anti_entropy.ranges as ranges
+import basaltport.range_digests as ranges
 
 KEEP = 200
 COPIES = 5
@@ -133,7 +133,7 @@
     for i in map(str, range(ranges.RANGES)):
         was = old.get(i, {"at": 0, "seats": {}})
         seats = was["seats"]
-        top = {names[n] for n in ring.after(f"keys/{i}", names, COPIES)}
+        top = {names[n] for n in hash_ring.successors(f"keys/{i}", names, COPIES)}
         if not top or top == seats.keys():
             out[i] = was
             continue
--- a/basaltport/proxy/budget.py
+++ b/basaltport/proxy/budget.py
@@ -2,7 +2,7 @@
 
 import collections
 
-import basaltport.query_api.failure_detection.duties as duties
+import basaltport.rendezvous as rendezvous
 import basaltport.identifiers as identifiers
 
 STEP_MS = 250
@@ -112,7 +112,7 @@
         if each >= cls.LEAST:
             return each
         some = total / cls.LEAST / nodes
-        return cls.LEAST if duties.weight(replica, name) / cls.HASHES < some / 2 else 0
+        return cls.LEAST if rendezvous.weight(replica, name) / cls.HASHES < some / 2 else 0
 
     def room(self, now: identifiers.Millis, share: int) -> bool:
         """Whether one more may be sent now."""
--- a/basaltport/proxy/pick.py
+++ b/basaltport/proxy/pick.py
@@ -3,7 +3,7 @@
 import collections.abc
 import typing
 
-import basaltport.query_api.failure_detection.duties as duties
+import basaltport.rendezvous as rendezvous
 import basaltport.identifiers as identifiers
 import basaltport.proxy.budget as budget
 import basaltport.proxy.health as health
@@ -158,6 +158,6 @@
             score += SLOW
         if waiting.tokens >= AFFINE:
             return score + LEAN * (
-                duties.weight(f"{waiting.item}|{waiting.prefix}", replica) / budget.Cold.HASHES
+                rendezvous.weight(f"{waiting.item}|{waiting.prefix}", replica) / budget.Cold.HASHES
             )
         return score + DRAW * self.rng.random()
--- a/basaltport/query_api/failure_detection/duties.py
+++ b/basaltport/query_api/failure_detection/duties.py
@@ -1,13 +1,11 @@
 """Duties cut by key over live rostrums. The leader agrees owners; an entry's serial is the owner's fence."""
 
-import collections.abc
-import functools
-import hashlib
 import typing
 
 import basaltport.consensus.seat as seat
 import basaltport.identifiers as identifiers
 import basaltport.log_events as log_events
+import basaltport.rendezvous as rendezvous
 
 GONE = 1500
 UNHEARD = 4000
@@ -18,12 +16,6 @@
 Row = dict[str, typing.Any]
 
 
-@functools.lru_cache(100_000)
-def weight(key: str, name: str) -> int:
-    """The weight of a name for a key (rendezvous hashing): the highest one owns the key."""
-    return int.from_bytes(hashlib.blake2b(f"{key}|{name}".encode(), digest_size=8).digest(), "big")
-
-
 def zone_key(z: str) -> str:
     """The key of a zone's duty."""
     return f"zone/{z}"
@@ -37,7 +29,7 @@
 def pick(key: str, live: list[Row]) -> str:
     """Highest weight among live rostrums, those of the key's own zone first."""
     own = [r for r in live if zone_key(r["zone"]) == key]
-    owner: str = max(own or live, key=lambda r: weight(key, r["name"]))["seat"]
+    owner: str = max(own or live, key=lambda r: rendezvous.weight(key, r["name"]))["seat"]
     return owner
 
 
@@ -48,7 +40,7 @@
     since: int
     fresh: bool
     tip_book: Row
-    left: collections.abc.Container[str]
+    left: set[str]
     lapse: dict[str, int]
 
     def settled(self) -> bool:
--- a/basaltport/query_api/failure_detection/ring.py
+++ b/basaltport/query_api/failure_detection/ring.py
@@ -1,11 +1,9 @@
 """Heartbeats round a ring: each member pulses to a few watchers, who tell the leader whom they miss."""
 
-import bisect
 import collections.abc
-import functools
-import hashlib
 import typing
 
+import basaltport.hash_ring as hash_ring
 import basaltport.identifiers as identifiers
 import basaltport.member as member
 import basaltport.messages as messages
@@ -19,31 +17,16 @@
 
 LONG_AGO = -(10**9)
 
-Seats = collections.abc.Iterable[str]
-
-
-@functools.cache
-def place(seat: str) -> bytes:
-    """The point of a name on the ring."""
-    return hashlib.blake2b(seat.encode(), digest_size=8).digest()
-
 
 def watchers(seat: str, roster: collections.abc.Collection[str]) -> list[str]:
     """The seats that follow on the ring."""
-    ring = sorted(roster, key=place)
+    ring = sorted(roster, key=hash_ring.position)
     if seat not in roster:
         return []
     i = ring.index(seat)
     return [ring[(i + k) % len(ring)] for k in range(1, min(WATCHERS, len(ring) - 1) + 1)]
 
 
-def after(point: str, names: Seats, n: int) -> list[str]:
-    """The names that follow a point on the ring."""
-    ring = sorted(names, key=place)
-    i = bisect.bisect([place(x) for x in ring], place(point))
-    return [ring[(i + k) % len(ring)] for k in range(min(n, len(ring)))]
-
-
 class RingNeeds(typing.Protocol):
     """What `RingMixin` needs of the member it is part of; see `consensus.seat`."""
 
--- /dev/null
+++ b/basaltport/query_api/log_node.py
@@ -0,0 +1,69 @@
+"""A node with a disk (role `ledger` of the command line): keeps the agreed log and may lead."""
+
+import typing
+
+import basaltport.admin.desk as desk
+import basaltport.consensus.elect as elect
+import basaltport.consensus.lead as lead
+import basaltport.consensus.seat as seat
+import basaltport.identifiers as identifiers
+import basaltport.member as member
+import basaltport.query_api.cell.cell as cell
+import basaltport.query_api.failure_detection.duties as duties
+import basaltport.query_api.failure_detection.ring as ring
+
+
+SNAPSHOT_EVERY_ENTRIES = 400
+DISK_RETRY_MS = 1000
+
+
+class LogNode(
+    elect.ElectMixin,
+    lead.LeadMixin,
+    duties.DutyMixin,
+    ring.RingMixin,
+    cell.CellMixin,
+    desk.DeskMixin,
+    seat.SeatMixin,
+    member.Member,
+):
+    """The reducer of a node with a disk, from all its mixins."""
+
+    TICKS = ("tick_disk", "tick_hello", "tick_cells", "tick_elect", "tick_lead", "tick_ring", "tick_desk")
+    durable = True
+
+    def __init__(
+        self,
+        me: member.Me,
+        seed: int,
+        now: identifiers.Millis,
+        held: dict[str, typing.Any] | None = None,
+        promised: identifiers.Term = seat.NONE,
+    ) -> None:
+        """`held` and `promised`: what the disk gave back, if anything; `seed` is that of all chance."""
+        member.Member.__init__(self, me, seed, now)
+        lead.LeadMixin.lead_clear(self)
+        elect.ElectMixin.elect_start(self)
+        self.cell_start()
+        self.ring_start()
+        desk.DeskMixin.desk_start(self)
+        seat.SeatMixin.seat_start(self, held, promised)
+        self.snapshot_index = self.book["serial"]
+        self.disk_retry_at = now
+
+    def tick_disk(self) -> None:
+        """Try a disk that failed again, with a whole snapshot."""
+        if self.bad and not self.after and self.now - self.disk_retry_at >= DISK_RETRY_MS:
+            self.disk_retry_at = self.now
+            self.write_snapshot()
+
+    def in_force(self) -> None:
+        """Write a snapshot once enough entries were applied since the last one."""
+        if self.book["serial"] - self.snapshot_index < SNAPSHOT_EVERY_ENTRIES:
+            return
+        self.snapshot_index = self.book["serial"]
+        self.write_snapshot()
+
+    def write_snapshot(self) -> None:
+        """Ask for a snapshot in place of the log."""
+        self.write([], whole=seat.SeatMixin.copy(self))
--- a/basaltport/query_api/zone_controller/homes.py
+++ b/basaltport/query_api/zone_controller/homes.py
@@ -1,6 +1,6 @@
 """Which zones keep a kept item: those that hold it first, then by weight, never one that is lost or full."""
 
-import basaltport.query_api.failure_detection.duties as duties
+import basaltport.rendezvous as rendezvous
 import basaltport.query_api.cell.cell as cell
 
 LOST = 4000
@@ -41,7 +41,7 @@
         held = self.near.get(r.item, ())
         by = self.near.get(base, ())
         zs = [z for z in zs if z in held or self.could_hold(z, r)]
-        zs.sort(key=lambda z: (z not in held, z not in by, -duties.weight(base, z)))
+        zs.sort(key=lambda z: (z not in held, z not in by, -rendezvous.weight(base, z)))
         return d.zone in zs[: max(1, r.copies)]
 
     def could_hold(self, z, r):
--- a/basaltport/simulation/world/world.py
+++ b/basaltport/simulation/world/world.py
@@ -6,7 +6,7 @@
 import basaltport.events as events
 import basaltport.frames as frames
 import basaltport.identifiers as identifiers
-import basaltport.consensus.role as ledger
+import basaltport.query_api.log_node as ledger
 import basaltport.member as member
 import basaltport.simulation.standins.backend as backend
 import basaltport.simulation.world.senders as senders
@@ -142,9 +142,9 @@
         )
         seed = self.rng.getrandbits(64)
         if n.role == "ledger":
-            n.member = ledger.Ledger(me, seed, self.now, held, promised)
+            n.member = ledger.LogNode(me, seed, self.now, held, promised)
         else:
-            n.member = rostrum.Rostrum(me, seed, self.now)
+            n.member = rostrum.QueryNode(me, seed, self.now)
         n.life += 1
         n.frozen = False
         n.stopping = False
--- a/tests/test_style.py
+++ b/tests/test_style.py
@@ -29,6 +29,11 @@
 }  # fmt: skip
 
 
+# What may know the older path, the JSON API of queries, beside itself: roots that put processes together.
+# `cold_start` is taken out once its routine serves both paths; none is ever added.
+KNOWS_QUERY_API = {"main.py", "host.py", "daemon.py", "simulation", "cold_start"}
+
+
 def module_of(pattern):
     """The name that mypy has for what a pattern of the linter names."""
     return re.sub(r"/\*\*$", ".*", pattern).removesuffix(".py").replace("/", ".").removesuffix(".__init__")
@@ -97,3 +102,15 @@
     assert set(by_number) <= {"consensus", "controller", "proxy"}
     assert set().union(*by_number.values()) <= set(log_events.Event)
     assert set(log_events.MEANINGS) == set(log_events.Event)
+
+
+def test_only_roots_that_put_processes_together_import_the_older_path():
+    package = ROOT / "basaltport"
+    known = set()
+    for file in package.glob("**/*.py"):
+        top = file.relative_to(package).parts[0]
+        for node in ast.walk(ast.parse(file.read_text())):
+            names = [a.name for a in node.names] if isinstance(node, ast.Import) else []
+            if top != "query_api" and any(n.startswith("basaltport.query_api") for n in names):
+                known.add(top)
+    assert known <= KNOWS_QUERY_API
