--- /dev/null
+++ b/tests/test_stored_forms.py
@@ -0,0 +1,165 @@
+"""Disks and frames of earlier releases: what they hold is read as it was meant, and written the same."""
+
+import json
+import shutil
+
+import pytest
+
+import basaltport.consensus.book as book
+import basaltport.consensus.journal as journal
+import basaltport.consensus.member_identity as member_identity
+import basaltport.consensus.record_framing as record_framing
+import basaltport.controller.duties as duties
+import basaltport.fleet.messages as fleet_messages
+import basaltport.frames as frames
+import basaltport.identifiers as identifiers
+import basaltport.messages as messages
+import tests.stored_forms as stored_forms
+
+FOUNDERS = ("10.0.0.1:7000", "10.0.0.2:7000")
+OWN = member_identity.Identity("first-1", FOUNDERS)
+SOMEBODY_NEW = member_identity.Identity("first-9", ("10.9.9.9:1",))
+FOLDERS = sorted(stored_forms.disk_scripts())
+FRAME_FILES = sorted(stored_forms.FRAMES.glob("*.frame"))
+VALUES = json.loads((stored_forms.FRAMES / "values.json").read_text())
+LAST_FRAMES = 2
+
+
+def expected_of(name):
+    return json.loads((stored_forms.DISKS / f"{name}.json").read_text())
+
+
+def copied(name, path):
+    """A folder of its own: a start may write to it."""
+    shutil.copytree(stored_forms.DISKS / name, path, dirs_exist_ok=True)
+    return path
+
+
+def opened(path):
+    """What a start reads back."""
+    disk = journal.Disk(str(path), stored_forms.MEMBER)
+    got = disk.open(SOMEBODY_NEW)
+    disk.close()
+    return got.ok_value
+
+
+def documents_of(recovered):
+    """State, entries not known to be agreed, and the vote, as they are stored."""
+    held = recovered.held
+    return {"book": held["book"], "tail": held["tail"], "promised": list(recovered.promised)}
+
+
+def tip_of(recovered):
+    """The state with all its entries applied, as it is stored."""
+    state = recovered.held["book"]
+    for entry in recovered.held["tail"]:
+        state = book.apply(state, entry)
+    return state
+
+
+def in_order(document):
+    """Text that tells the order of keys as well."""
+    return json.dumps(document)
+
+
+def message_of(kind, values):
+    """A message of the values of its fields."""
+    cls = messages.KINDS[kind]
+    layout = frames._layout(cls)
+    return cls(
+        *[
+            identifiers.Term(*v) if f.type is identifiers.Term else v
+            for f, v in zip(layout, values, strict=True)
+        ]
+    )
+
+
+@pytest.mark.parametrize("name", FOLDERS)
+def test_a_folder_of_an_earlier_release_opens_to_its_state(name, tmp_path):
+    expected = expected_of(name)
+    got = opened(copied(name, tmp_path / "folder"))
+    assert got.identity == OWN and not got.new_seat
+    last = expected["steps"][-1]
+    assert in_order(documents_of(got)) == in_order({k: last[k] for k in ("book", "tail", "promised")})
+    if expected["tip"] is not None:
+        assert in_order(tip_of(got)) == in_order(expected["tip"])
+
+
+@pytest.mark.parametrize("name", FOLDERS)
+def test_a_log_cut_at_any_byte_of_its_last_frames_opens_to_the_frames_before(name, tmp_path):
+    expected = expected_of(name)
+    steps = expected["steps"]
+    path = tmp_path / "folder"
+    for length in range(steps[-1 - min(LAST_FRAMES, len(steps) - 1)]["length"], steps[-1]["length"] + 1):
+        shutil.rmtree(path, ignore_errors=True)
+        log = copied(name, path) / expected["journal"]
+        log.write_bytes(log.read_bytes()[:length])
+        whole = [step for step in steps if step["length"] <= length][-1]
+        assert documents_of(opened(path)) == {k: whole[k] for k in ("book", "tail", "promised")}
+        assert log.stat().st_size == whole["length"]
+
+
+@pytest.mark.parametrize("name", FOLDERS)
+def test_a_snapshot_that_is_read_and_written_again_has_the_same_bytes(name, tmp_path):
+    path = copied(name, tmp_path / "folder")
+    log = path / expected_of(name)["journal"]
+    log.write_bytes(b"")
+    number = log.suffix[1:]
+    before = {end: (path / f"snap.{number}.{end}").read_bytes() for end in ("dat", "dir")}
+    disk = journal.Disk(str(path), stored_forms.MEMBER)
+    recovered = disk.open(SOMEBODY_NEW).ok_value
+    disk.write([], {**recovered.held, "promised": recovered.promised})
+    disk.close()
+    assert before == {end: (path / f"snap.{disk.number}.{end}").read_bytes() for end in ("dat", "dir")}
+
+
+@pytest.mark.parametrize("name", FOLDERS)
+def test_records_that_are_read_and_appended_again_have_the_same_bytes(name, tmp_path):
+    expected = expected_of(name)
+    raw = (stored_forms.DISKS / name / expected["journal"]).read_bytes()
+    ends = [step["length"] for step in expected["steps"]]
+    for start, end in zip(ends, ends[1:], strict=False):
+        records = record_framing.scan(raw[start:end]).ok_value.records
+        encoded = [record_framing.encode(record) for record in records]
+        assert record_framing.encode_batch(encoded) == raw[start:end]
+
+
+def test_a_folder_of_the_first_format_opens_with_its_separate_identity(tmp_path):
+    path = copied("all_in_log", tmp_path / "folder")
+    number = json.loads((path / "current").read_text())["n"]
+    (path / "current").write_text(json.dumps({"format": 1, "member": stored_forms.MEMBER, "n": number}))
+    (path / "seat").write_text("first-1\n")
+    (path / "founders").write_text(json.dumps(FOUNDERS))
+    got = opened(path)
+    assert got.identity == OWN and not got.new_seat
+    assert documents_of(got)["tail"] == expected_of("all_in_log")["steps"][-1]["tail"]
+    assert json.loads((path / "current").read_text())["format"] == member_identity.FORMAT
+
+
+@pytest.mark.parametrize("file", FRAME_FILES, ids=lambda file: file.stem)
+def test_a_message_has_the_bytes_that_earlier_releases_sent(file):
+    raw = file.read_bytes()
+    kind, values = VALUES[file.stem]
+    assert frames.pack(message_of(kind, values)) == raw
+
+
+@pytest.mark.parametrize("file", FRAME_FILES, ids=lambda file: file.stem)
+def test_a_frame_of_an_earlier_release_is_read_and_packed_the_same(file):
+    raw = file.read_bytes()
+    kind, values = VALUES[file.stem]
+    got = frames.unpack(raw).ok_value
+    assert got == message_of(kind, values)
+    assert frames.pack(got) == raw
+
+
+def test_there_is_a_frame_of_every_kind():
+    assert fleet_messages and duties
+    assert {VALUES[file.stem][0] for file in FRAME_FILES} == set(messages.KINDS)
+
+
+def test_every_operation_is_in_a_folder():
+    seen = set()
+    for name in FOLDERS:
+        last = expected_of(name)["steps"][-1]
+        seen |= {e["op"]["op"] for e in last["tail"]}
+    assert seen >= set(book._OPS)
