--- a/basaltport/main.py
+++ b/basaltport/main.py
@@ -10,10 +10,11 @@
 import basaltport.query_api.load_generator.cli as paddle
 import basaltport.model.cli as model
 import basaltport.local_fleet.cli as local_fleet
-import basaltport.simulation.cli as rehearsal
+import basaltport.simulation.query_api.cli as rehearsal
 import basaltport.simulation.query_api.drills.drill as drill
 import basaltport.simulation.query_api.planner as planner
 import basaltport.simulation.query_api.play as play
+import basaltport.simulation.routes.play as routes_play
 import basaltport.scale.cli as scale
 import basaltport.verbs as verbs
 
@@ -25,7 +26,15 @@
     ("Of a fleet behind routes", {**fleet_cli.VERBS, **local_fleet.VERBS}),
     (
         "Tools",
-        {**paddle.VERBS, **rehearsal.VERBS, **play.VERBS, **planner.VERBS, **drill.VERBS, **model.VERBS},
+        {
+            **paddle.VERBS,
+            **rehearsal.VERBS,
+            **routes_play.VERBS,
+            **play.VERBS,
+            **planner.VERBS,
+            **drill.VERBS,
+            **model.VERBS,
+        },
     ),
     ("Scale runs", scale.VERBS),
 ]
--- a/basaltport/model/world.py
+++ b/basaltport/model/world.py
@@ -16,6 +16,7 @@
 import basaltport.model.operators as operators
 import basaltport.model.standins as standins
 import basaltport.placement.effects as effects
+import basaltport.simulation.processes as processes
 import basaltport.simulation.routes.nodes as nodes
 
 Then = typing.Callable[[operators.Answer | None], object]
@@ -66,7 +67,7 @@
     def read_list(self, node: nodes.Node, life: int) -> None:
         """Its answer comes."""
         rows = [{"id": r, "service": "s", "models": {}} for r in REPLICAS]
-        listed: typing.Callable[..., object] = keeper_events.Listed
+        listed: typing.Callable[..., processes.Event] = keeper_events.Listed
         self.give(node, life, listed(self.now, True, rows))
 
     def do_order(self, node: nodes.Node, effect: effects.Order) -> None:
@@ -129,7 +130,7 @@
             self.checks.answers(node, msg.call, msg.status, msg.body)
         super().do_send(node, effect)
 
-    def step(self, node: nodes.Node, event: events.Heard | events.Tick | events.Synced) -> None:
+    def step(self, node: nodes.Node, event: processes.Event) -> None:
         """Acknowledgements are seen by the checks first."""
         if node.member is None:
             return
--- a/basaltport/simulation/cli.py
+++ b/basaltport/simulation/query_api/cli.py
@@ -10,7 +10,6 @@
 
 import basaltport.simulation.query_api.drills.fleet as fleet
 import basaltport.simulation.query_api.world.presets as presets
-import basaltport.simulation.routes.play as routeplay
 import basaltport.simulation.query_api.world.stage as stage
 import basaltport.simulation.query_api.standins.standin as standin
 import basaltport.verbs as verbs
@@ -62,5 +61,4 @@
 VERBS = {
     "fleet": verbs.Verb("Run a whole fleet with stand-ins on this machine.", run_fleet, define_fleet),
     "standins": verbs.Verb("Run the stand-ins alone.", run_standins, define_standins),
-    **routeplay.VERBS,
 }
--- a/basaltport/simulation/query_api/world/world.py
+++ b/basaltport/simulation/query_api/world/world.py
@@ -1,6 +1,5 @@
 """The simulator: the daemons' own reducers on virtual time, wires and disks. One seed, one run."""
 
-import heapq
 import random
 
 import basaltport.events as events
@@ -10,50 +9,36 @@
 import basaltport.member as member
 import basaltport.simulation.query_api.standins.backend as backend
 import basaltport.simulation.query_api.world.senders as senders
-import basaltport.simulation.virtual_disk as simdisk
+import basaltport.simulation.processes as processes
+import basaltport.simulation.virtual_disk as virtual_disk
 import basaltport.query_api.query_proxy.role as rostrum
 
 TICK = 25
 
 
-class Node:
+class Node(processes.Process):
     """One process: up, frozen or gone."""
 
     def __init__(self, name, role, zone, addr):
-        self.name = name
+        super().__init__(name, addr)
         self.role = role
         self.zone = zone
-        self.addr = addr
-        self.member = None
-        self.life = 0
-        self.frozen = False
-        self.held_back = []
-        self.disk = None
-        self.seat = ""
         self.stopping = False
         self.reason = ""
 
 
-class World(backend.BackendMixin, senders.SenderMixin):
+class World(backend.BackendMixin, senders.SenderMixin, processes.Processes[Node]):
     """`packed` sends every message as a frame's bytes; without it, the same messages go unpacked, faster."""
 
     def __init__(self, seed, preset, loss=0.0, packed=False):
+        super().__init__(seed)
         self.packed = packed
-        self.rng = random.Random(seed)
-        self.now = identifiers.Millis(1_000_000)
         self.start = self.now
-        self.heap = []
-        self.order = 0
         self.preset = preset
         self.loss = loss
         self.twice = 0.0
         self.slow = 1
-        self.nodes = {}
-        self.by_addr = {}
-        self.cuts = set()
         self.hold = None
-        self.held = []
-        self.last_at = {}
         self.trace = []
         self.calls = {}
         self.verbs = {}
@@ -67,21 +52,6 @@
 
     # time
 
-    def at(self, t, f, *a):
-        self.order += 1
-        heapq.heappush(self.heap, (t, self.order, f, a))
-
-    def later(self, ms, f, *a):
-        self.at(self.now + ms, f, *a)
-
-    def run(self, ms):
-        end = self.now + ms
-        while self.heap and self.heap[0][0] <= end:
-            t, _, f, a = heapq.heappop(self.heap)
-            self.now = identifiers.Millis(t)
-            f(*a)
-        self.now = identifiers.Millis(end)
-
     def run_until(self, test, ms):
         """True as soon as the test holds, False if it does not in time."""
         end = self.now + ms
@@ -109,7 +79,7 @@
         self.nodes[name] = n
         self.by_addr[n.addr] = n
         if role == "ledger":
-            n.disk = simdisk.SimDisk(random.Random(self.rng.random()))
+            n.disk = virtual_disk.VirtualDisk(random.Random(self.rng.random()))
         return n
 
     def move(self, name):
@@ -148,7 +118,7 @@
         n.life += 1
         n.frozen = False
         n.stopping = False
-        n.held_back = []
+        n.held = []
         self.log("boot", node=name, seat=seat)
         self.tick(name, n.life)
 
@@ -163,7 +133,7 @@
         if n.disk is None:
             return
         if disk:
-            n.disk = simdisk.SimDisk(random.Random(self.rng.random()))
+            n.disk = virtual_disk.VirtualDisk(random.Random(self.rng.random()))
             n.seat = ""
             return
         n.disk.power_loss()
@@ -189,10 +159,8 @@
             return
         self.log("wake", node=name)
         n.frozen = False
-        back, n.held_back = n.held_back, []
-        for ev in back:
-            ev.now = self.now
-            self.step(n, ev)
+        held, n.held = n.held, []
+        self.deliver_late(n, held)
 
     def tick(self, name, life):
         n = self.nodes[name]
@@ -204,21 +172,10 @@
                 self.log("stale-lease", node=n.name, serial=n.member.book["mserial"], acked=self.acked)
         self.later(TICK, self.tick, name, life)
 
-    def give(self, n, life, ev):
-        """An event for a process, if it is still the same process."""
-        if n.life != life or n.member is None:
-            return
-        if n.frozen:
-            n.held_back.append(ev)
-            return
-        ev.now = self.now
-        self.step(n, ev)
-
     def step(self, n, ev):
         if isinstance(ev, events.Replied) and ev.outcome in ("late", "broken") and ev.detail != "abandoned":
             self.log("fate", node=n.name, query=ev.dispatch.rsplit(".", 1)[0], outcome=ev.outcome)
-        for e in n.member.step(ev):
-            getattr(self, "do_" + type(e).__name__.lower())(n, e)
+        self.carry_out(n, n.member.step(ev))
 
     def leader(self):
         for n in self.nodes.values():
@@ -234,9 +191,7 @@
     def cut(self, a, b, both=True):
         """Nothing goes from a to b any more; with both, nor back."""
         self.log("cut", a=a, b=b, both=both)
-        self.cuts.add((a, b))
-        if both:
-            self.cuts.add((b, a))
+        super().cut(a, b, both)
 
     def split(self, left):
         right = [n for n in self.nodes if n not in left]
@@ -254,10 +209,7 @@
         """What wires held through the cut comes now, in its order, as far as they hold that long."""
         self.log("heal")
         self.cuts = set()
-        held, self.held = self.held, []
-        for at, f, a in held:
-            if self.now - at <= (self.hold or 0):
-                self.later(1, f, *a)
+        self.release_held((self.hold or 0) + 1)
 
     def do_send(self, n, e):
         to = self.by_addr.get(e.addr)
@@ -279,9 +231,7 @@
         at = self.now + (self.rng.randrange(1, 4) * self.slow if to is not n else 0)
         if self.loss:
             return at
-        k = (n.name, to.name, n.life, to.life)
-        at = self.last_at[k] = max(at, self.last_at.get(k, 0))
-        return at
+        return self.in_order((n.name, to.name, n.life, to.life), at)
 
     def arrive(self, src, to, raw):
         if (src, to.name) in self.cuts or to.member is None:
@@ -291,35 +241,9 @@
 
     # disk, log, operators
 
-    def do_write(self, n, e):
-        whole = None
-        if e.whole is not None:
-            whole = {"promised": list(n.member.promised), **e.whole, "tail": list(e.whole["tail"])}
-        n.disk.write(e.token, e.records, whole)
-        self.sync_next(n)
-
-    def sync_next(self, n):
-        d = n.disk
-        if d.queue and not d.syncing and not d.stalled:
-            d.begin()
-            self.at(d.lapse(self.now), self.synced, n, n.life, d)
-
-    def synced(self, n, life, disk):
-        if n.life != life or n.disk is not disk:
-            return
-        if disk.stalled:
-            disk.syncing = 0
-            return
-        for token, ok in disk.done():
-            self.give(n, life, events.Synced(self.now, token, ok))
-        self.sync_next(n)
-
     def stall(self, name, on):
-        d = self.nodes[name].disk
         self.log("stall", node=name, on=on)
-        d.stalled = on
-        if not on:
-            self.sync_next(self.nodes[name])
+        super().stall(name, on)
 
     def fill(self, name, on):
         self.log("full", node=name, on=on)
--- a/basaltport/simulation/routes/attempts.py
+++ b/basaltport/simulation/routes/attempts.py
@@ -1,198 +1,274 @@
 """Attempts of proxies at replicas: what is sent, what is passed on, what is proven when one is lost."""
 
+import typing
+
 import basaltport.proxy.events as relay_events
 import basaltport.proxy.outcomes as outcomes
+import basaltport.simulation.routes.fleet_base as fleet_base
+import basaltport.simulation.routes.nodes as nodes
+import basaltport.simulation.routes.request_rows as request_rows
+
+if typing.TYPE_CHECKING:
+    import basaltport.simulation.routes.clients as clients
+    import basaltport.simulation.routes.replicas as replicas
 
 Outcome = outcomes.Outcome
-CONNECT = 400
+CONNECT_MS = 400
 PIECES = 4
+STREAMS = ("stream", "resume")
+WORK_MS = (40, 120)
+COLD_FACTOR = 1.5
+HANDSHAKES = 3
+FAILS_WITH_ANSWER = 0.5
+HANDED_BACK_STATUS = 421
+REFUSED_STATUS = 503
+FAILED_STATUS = 500
+DONE_STATUS = 200
+BLOCKED_MS = 100
+FROZEN_MS = 50
 
 
-class Go:
-    """An attempt on its way. `on` is the replica that has it; `part` the next piece of a stream."""
-
-    def __init__(self, n, e, t, item, at):
-        self.n, self.life, self.e, self.t, self.item, self.at = n, n.life, e, t, item, at
-        self.written = self.begun = self.over = False
-        self.on, self.part, self.beat, self.ended = None, 0, None, 0
-
-
-class AttemptMixin:
-    """Needs ReplicaMixin. Does for the relay's reducer what its shell does."""
-
-    def attempts_start(self):
-        self.goes, self.kept = {}, set()
-
-    def do_attempt(self, n, e):
-        q = n.member.requests[e.request]
-        go = Go(n, e, self.tries[n.name, n.life, e.request], q.item, self.now)
-        self.goes[n.name, n.life, e.attempt] = go
-        go.t.goes.append(go)
-        go.touch = n.name in self.touching
-        self.later(e.left, self.late, go)
-        r = self.at_place.get(e.address)
-        known = (n.name, n.life, e.address)
-        if r is None:
-            self.kept.discard(known)
-            self.later(self.rng.randrange(2, 8), self.lose, go, "refused to connect")
-            return
-        shut = r.dark or (n.name, r.id) in self.cuts or (r.id, n.name) in self.cuts
-        if known not in self.kept and shut:
-            self.later(CONNECT, self.lose, go, "no connection")
-            return
-        go.written = known in self.kept
-        ms = self.rng.randrange(1, 6) * (1 if go.written else 3)
-        self.kept.add(known)
-        self.later(ms, self.comes, go, r)
-
-    def comes(self, go, r):
-        if go.over or go.n.life != go.life:
-            return
-        if (go.n.name, r.id) in self.cuts:
-            self.keep(self.comes, go, r)
-            return
-        if self.at_place.get(r.address) is not r:
-            self.lose(go, "reset")
-            return
-        go.written = True
-        if r.dark:
-            return
-        go.on = r
-        got = r.verdict(go)
-        m = go.t.op
-        self.log(
-            "arrive",
-            replica=r.id,
-            zone=r.zone,
-            service=r.service,
-            **{"try": go.t.id},
-            proxy=go.n.name,
-            sent=self.t(go.at),
-            touch=go.touch,
-            said=got,
-            item=go.item,
-            meant=m.service,
-        )
-        if got == "run":
-            self.begin(go, r)
+class SentAttempt:
+    """An attempt on its way from a proxy to a replica.
+
+    `written`: its bytes may have gone out; `begun`: a part of the answer reached the proxy; `replica`: the
+    one that has it; `pieces`: how many parts of the answer came; `piece_ms`: the time that one takes;
+    `ended_at`: when it was over."""
+
+    def __init__(
+        self,
+        node: nodes.Node,
+        effect: relay_events.Attempt,
+        client_try: "clients.Try",
+        item: str,
+        sent_at: int,
+    ) -> None:
+        """The proxy wants it sent."""
+        self.node, self.life, self.effect = node, node.life, effect
+        self.client_try, self.item, self.sent_at = client_try, item, sent_at
+        self.written = self.begun = self.over = self.touch = False
+        self.replica: replicas.Replica | None = None
+        self.pieces, self.piece_ms, self.ended_at = 0, 0.0, 0
+
+    @property
+    def streams(self) -> bool:
+        """Whether its answer is a stream, of which the client sees every part."""
+        return self.client_try.operation.kind in STREAMS
+
+    @property
+    def alive(self) -> bool:
+        """Whether it is not over and its proxy is still the same process."""
+        return not self.over and self.node.life == self.life
+
+
+class AttemptMixin(fleet_base.FleetBase):
+    """Does for a proxy's reducer what its shell does."""
+
+    def attempts_start(self) -> None:
+        """Nothing was sent yet."""
+        self.attempts = {}
+        self.connected: set[fleet_base.AttemptKey | tuple[str, int, str]] = set()
+
+    def do_attempt(self, node: nodes.Node, effect: relay_events.Attempt) -> None:
+        """Connects to the replica, or takes a connection that is kept, and sends the request."""
+        item = node.member.requests[effect.request].item
+        client_try = self.tries[node.name, node.life, effect.request]
+        attempt = SentAttempt(node, effect, client_try, item, self.now)
+        self.attempts[node.name, node.life, effect.attempt] = attempt
+        client_try.attempts.append(attempt)
+        attempt.touch = node.name in self.touching
+        self.later(effect.left, self.time_out, attempt)
+        replica = self.at_place.get(effect.address)
+        connection = (node.name, node.life, effect.address)
+        if replica is None:
+            self.connected.discard(connection)
+            self.later(self.rng.randrange(2, 8), self.lose, attempt, "refused to connect")
             return
-        if got == "wait":
-            r.queue.append(go)
+        if connection not in self.connected and self.unreachable(node, replica):
+            self.later(CONNECT_MS, self.lose, attempt, "no connection")
             return
-        go.on = None
-        self.tell(go, Outcome(got), 421 if got in ("absent", "moved") else 503)
+        attempt.written = connection in self.connected
+        delay = self.rng.randrange(1, 6) * (1 if attempt.written else HANDSHAKES)
+        self.connected.add(connection)
+        self.later(delay, self.arrives, attempt, replica)
 
-    def begin(self, go, r):
-        r.works[id(go)] = go
-        m = go.item.partition("/")[0]
-        r.runs[m] += 1
-        self.log("ran", replica=r.id, **{"try": go.t.id}, op=go.t.op.id, kind=go.t.op.kind)
-        slow = 1.5 if self.now < r.cold_until else 1.0
-        go.beat = self.rng.uniform(40, 120) * r.speed * slow * (1 + len(r.works) / r.slots)
-        go.part = go.t.pieces if go.t.op.kind in ("stream", "resume") else PIECES - 1
-        if self.rng.random() < r.ill:
-            self.later(int(go.beat), self.fail, go, r)
+    def unreachable(self, node: nodes.Node, replica: "replicas.Replica") -> bool:
+        """Whether no connection can be made."""
+        there, back = (node.name, replica.id), (replica.id, node.name)
+        return replica.dark or there in self.cuts or back in self.cuts
+
+    def arrives(self, attempt: SentAttempt, replica: "replicas.Replica") -> None:
+        """The request reaches the replica, unless that is gone; a dark one never reads it."""
+        if not attempt.alive:
+            return
+        if (attempt.node.name, replica.id) in self.cuts:
+            self.keep(self.arrives, attempt, replica)
+            return
+        if self.at_place.get(replica.address) is not replica:
+            self.lose(attempt, "reset")
             return
-        self.later(int(go.beat), self.piece, go, r)
+        attempt.written = True
+        if replica.dark:
+            return
+        attempt.replica = replica
+        verdict = replica.verdict(attempt)
+        self.record_arrival(attempt, replica, verdict)
+        if verdict == "run":
+            self.begin(attempt, replica)
+        elif verdict == "wait":
+            replica.queue.append(attempt)
+        else:
+            attempt.replica = None
+            handed_back = verdict in ("absent", "moved")
+            status = HANDED_BACK_STATUS if handed_back else REFUSED_STATUS
+            self.answer(attempt, Outcome(verdict), status)
+
+    def record_arrival(self, attempt: SentAttempt, replica: "replicas.Replica", verdict: str) -> None:
+        """What arrived where, for the checks."""
+        self.record(
+            request_rows.Arrive,
+            replica.id,
+            replica.zone,
+            replica.service,
+            attempt.client_try.id,
+            attempt.node.name,
+            self.elapsed(attempt.sent_at),
+            attempt.touch,
+            verdict,
+            attempt.item,
+            attempt.client_try.operation.service,
+        )
 
-    def working(self, go, r):
-        return r.works.get(id(go)) is go
+    def begin(self, attempt: SentAttempt, replica: "replicas.Replica") -> None:
+        """The replica begins to run it."""
+        replica.running[id(attempt)] = attempt
+        replica.runs[attempt.item.partition("/")[0]] += 1
+        client_try = attempt.client_try
+        operation = client_try.operation
+        self.record(request_rows.Ran, replica.id, client_try.id, operation.id, operation.kind)
+        slow = COLD_FACTOR if self.now < replica.cold_until else 1.0
+        load = 1 + len(replica.running) / replica.slots
+        attempt.piece_ms = self.rng.uniform(*WORK_MS) * replica.speed * slow * load
+        attempt.pieces = client_try.pieces if attempt.streams else PIECES - 1
+        fails = self.rng.random() < replica.failing
+        self.later(int(attempt.piece_ms), self.fail if fails else self.piece, attempt, replica)
 
-    def piece(self, go, r):
+    def runs_on(self, attempt: SentAttempt, replica: "replicas.Replica") -> bool:
+        """Whether the replica still runs it."""
+        return replica.running.get(id(attempt)) is attempt
+
+    def piece(self, attempt: SentAttempt, replica: "replicas.Replica") -> None:
         """One part of the answer; the last one ends it."""
-        if not self.working(go, r):
+        if not self.runs_on(attempt, replica):
             return
-        if r.dark or (r.id, go.n.name) in self.cuts:
-            self.later(100, self.piece, go, r)
+        if replica.dark or (replica.id, attempt.node.name) in self.cuts:
+            self.later(BLOCKED_MS, self.piece, attempt, replica)
             return
-        go.part += 1
-        last = go.part >= PIECES
+        attempt.pieces += 1
+        last = attempt.pieces >= PIECES
         if last:
-            self.free(go, r)
-        self.later(self.rng.randrange(1, 6), self.passed, go, go.part, last)
+            self.free_slot(attempt, replica)
+        self.later(self.rng.randrange(1, 6), self.passed, attempt, attempt.pieces, last)
         if not last:
-            self.later(int(go.beat), self.piece, go, r)
+            self.later(int(attempt.piece_ms), self.piece, attempt, replica)
 
-    def fail(self, go, r):
+    def fail(self, attempt: SentAttempt, replica: "replicas.Replica") -> None:
         """An answer of failure, or one that breaks off."""
-        if not self.working(go, r):
+        if not self.runs_on(attempt, replica):
             return
-        self.free(go, r)
-        if self.rng.random() < 0.5:
-            self.tell(go, Outcome.FAILED, 500)
+        self.free_slot(attempt, replica)
+        if self.rng.random() < FAILS_WITH_ANSWER:
+            self.answer(attempt, Outcome.FAILED, FAILED_STATUS)
             return
-        self.lose(go, "torn")
+        self.lose(attempt, "torn")
 
-    def free(self, go, r):
+    def free_slot(self, attempt: SentAttempt, replica: "replicas.Replica") -> None:
         """Out of its slot; who waits there longest begins."""
-        if r.works.pop(id(go), None) is None:
-            if go in r.queue:
-                r.queue.remove(go)
-            return
-        r.runs[go.item.partition("/")[0]] -= 1
-        while r.queue and len(r.works) < r.slots:
-            nxt = r.queue.popleft()
-            got = r.verdict(nxt) if not nxt.over else None
-            if got == "run":
-                self.begin(nxt, r)
-            elif got:
-                nxt.on = None
-                self.tell(nxt, Outcome.ABSENT if got == "absent" else Outcome.REFUSED, 503)
-
-    def passed(self, go, part, last):
+        if replica.running.pop(id(attempt), None) is None:
+            if attempt in replica.queue:
+                replica.queue.remove(attempt)
+            return
+        replica.runs[attempt.item.partition("/")[0]] -= 1
+        while replica.queue and len(replica.running) < replica.slots:
+            self.begin_next(replica.queue.popleft(), replica)
+
+    def begin_next(self, attempt: SentAttempt, replica: "replicas.Replica") -> None:
+        """One that waited begins, if it may by now."""
+        verdict = None if attempt.over else replica.verdict(attempt)
+        if verdict == "run":
+            self.begin(attempt, replica)
+        elif verdict:
+            attempt.replica = None
+            outcome = Outcome.ABSENT if verdict == "absent" else Outcome.REFUSED
+            self.answer(attempt, outcome, REFUSED_STATUS)
+
+    def passed(self, attempt: SentAttempt, pieces: int, last: bool) -> None:
         """Bytes reach the proxy, and through it the client."""
-        if go.over or go.n.life != go.life:
+        if not attempt.alive:
             return
-        if go.n.frozen:
-            self.later(50, self.passed, go, part, last)
+        node, client_try = attempt.node, attempt.client_try
+        if node.frozen:
+            self.later(FROZEN_MS, self.passed, attempt, pieces, last)
             return
-        go.begun = True
-        if not go.t.over and go.t.op.kind in ("stream", "resume"):
-            go.t.pieces = max(go.t.pieces, part)
-        self.give(go.n, go.life, relay_events.Progress(self.now, go.e.attempt))
-        if last and not go.over:
-            go.over, go.ended = True, self.now
-            self.client_done(go.t)
-            result = outcomes.Result(Outcome.DONE, 200)
-            self.give(go.n, go.life, relay_events.Ended(self.now, go.e.attempt, result))
+        attempt.begun = True
+        if not client_try.over and attempt.streams:
+            client_try.pieces = max(client_try.pieces, pieces)
+        self.give(node, attempt.life, relay_events.Progress(self.now, attempt.effect.attempt))
+        if last and not attempt.over:
+            attempt.over, attempt.ended_at = True, self.now
+            self.client_done(client_try)
+            result = outcomes.Result(Outcome.DONE, DONE_STATUS)
+            self.give(node, attempt.life, relay_events.Ended(self.now, attempt.effect.attempt, result))
 
-    def tell(self, go, outcome, status):
-        self.later(self.rng.randrange(1, 6), self.over, go, outcome, status)
+    def answer(self, attempt: SentAttempt, outcome: outcomes.Outcome, status: int) -> None:
+        """A whole answer of the replica is under way to the proxy."""
+        self.later(self.rng.randrange(1, 6), self.end, attempt, outcome, status)
 
-    def over(self, go, outcome, status=0, detail="", resumes=False):
+    def end(
+        self,
+        attempt: SentAttempt,
+        outcome: outcomes.Outcome,
+        status: int = 0,
+        detail: str = "",
+        resumes: bool = False,
+    ) -> None:
         """The attempt's end at its proxy."""
-        if go.over or go.n.life != go.life:
+        if not attempt.alive:
             return
-        go.over, go.ended = True, self.now
-        if go.on is not None:
-            self.later(1, self.free, go, go.on)
-        ev = relay_events.Ended(self.now, go.e.attempt, outcomes.Result(outcome, status, detail, resumes))
-        self.give(go.n, go.life, ev)
+        self.ended(attempt)
+        result = outcomes.Result(outcome, status, detail, resumes)
+        event = relay_events.Ended(self.now, attempt.effect.attempt, result)
+        self.give(attempt.node, attempt.life, event)
+
+    def ended(self, attempt: SentAttempt) -> None:
+        """It is over, and its replica soon stops to work on it."""
+        attempt.over, attempt.ended_at = True, self.now
+        if attempt.replica is not None:
+            self.later(1, self.free_slot, attempt, attempt.replica)
 
-    def lose(self, go, why, late=False):
-        """As the relay's shell tells what is proven of a connection that is lost."""
-        if not go.written:
-            self.over(go, Outcome.UNSENT, 0, why)
+    def lose(self, attempt: SentAttempt, why: str, late: bool = False) -> None:
+        """Tells what is proven of a connection that is lost, as the proxy's shell does."""
+        if not attempt.written:
+            self.end(attempt, Outcome.UNSENT, 0, why)
             return
-        stream = go.t.op.kind in ("stream", "resume")
-        if go.begun and stream:
-            self.over(go, Outcome.CUT, 0, why, go.t.op.kind == "resume" and not late)
+        if attempt.begun and attempt.streams:
+            resumes = attempt.client_try.operation.kind == "resume" and not late
+            self.end(attempt, Outcome.CUT, 0, why, resumes)
             return
-        self.over(go, Outcome.LATE if late else Outcome.BROKEN, 0, why)
+        self.end(attempt, Outcome.LATE if late else Outcome.BROKEN, 0, why)
 
-    def late(self, go):
-        if not go.over and go.n.life == go.life:
-            self.lose(go, "the time is over", True)
+    def time_out(self, attempt: SentAttempt) -> None:
+        """The client's time is over."""
+        if attempt.alive:
+            self.lose(attempt, "the time is over", True)
 
-    def do_abort(self, n, e):
-        go = self.goes.get((n.name, n.life, e.attempt))
-        if go:
-            self.later(0, self.lose, go, "stopped")
+    def do_abort(self, node: nodes.Node, effect: relay_events.Abort) -> None:
+        """The proxy gives an attempt up."""
+        attempt = self.attempts.get((node.name, node.life, effect.attempt))
+        if attempt:
+            self.later(0, self.lose, attempt, "stopped")
 
-    def drop_goes(self, n, life):
+    def drop_attempts(self, node: nodes.Node, life: int) -> None:
         """The process is gone and its connections with it."""
-        for k in [k for k in self.goes if k[0] == n.name and k[1] == life]:
-            go = self.goes.pop(k)
-            go.over, go.ended = True, self.now
-            if go.on is not None:
-                self.later(1, self.free, go, go.on)
+        for key in [key for key in self.attempts if key[0] == node.name and key[1] == life]:
+            self.ended(self.attempts.pop(key))
--- a/basaltport/simulation/routes/clients.py
+++ b/basaltport/simulation/routes/clients.py
@@ -1,167 +1,250 @@
-"""Clients: they choose a node that is ready, keep to what they are told, and come back as the rules allow."""
+"""Clients: they choose a proxy that is ready, keep to what they are told, and come back as the rules
+allow."""
+
+import typing
 
 import basaltport.identifiers as identifiers
 import basaltport.proxy.events as relay_events
+import basaltport.simulation.routes.attempts as attempts
+import basaltport.simulation.routes.fleet_base as fleet_base
+import basaltport.simulation.routes.nodes as nodes
+import basaltport.simulation.routes.request_rows as request_rows
 
 TRIES = 5
-UNREAD = 1000
-PROBE = 1000
-JUST = 100
-PROMISES = (408, 421, 429, 503)
-FINAL = (400, 401, 404, 413, 431)
-
-
-class Op:
-    """What a client wants: it may take several tries, each with an id of its own."""
-
-    __slots__ = "id kind item zone born until service tries over n pieces".split()
-
-    def __init__(self, id, kind, item, zone, born, ms, service):
-        self.id, self.kind, self.item, self.zone, self.born = id, kind, item, zone, born
+UNREAD_MS = 1000
+READINESS_MS = 1000
+MISSES_OUT = 2
+RUNNING_WITHIN_MS = 100
+LEAST_TIME_MS = 50
+COME_BACK_MS = 100
+STREAM_MS = 5000
+REQUEST_MS = 3000
+BODY_BYTES = 100
+MS_PER_S = 1000
+HOST = "desk.example"
+NEVER_RAN_STATUSES = (408, 421, 429, 503)
+FINAL_STATUSES = (400, 401, 404, 413, 431)
+REPEATABLE = ("safe", "plain", "resume")
+ONCE_ONLY = ("once", "stream")
+
+
+class Mix(typing.NamedTuple):
+    """A part of the traffic: its share, the kind of its requests, what they are for, and the service."""
+
+    share: float
+    kind: str
+    items: list[str]
+    service: str
+
+
+class Operation:
+    """What a client wants: it may take several tries, each with an id of its own.
+
+    `until`: when the client gives up; `tries`: how many were sent; `over`: what came of it; `pieces`: parts
+    of a stream that need not be sent again."""
+
+    __slots__ = "id kind item zone born until service tries over pieces".split()
+
+    def __init__(
+        self, operation_id: str, kind: str, item: str, zone: str, born: int, ms: int, service: str
+    ) -> None:
+        """The client has `ms` for it."""
+        self.id, self.kind, self.item, self.zone, self.born = operation_id, kind, item, zone, born
         self.until, self.service = born + ms, service
         self.tries, self.over, self.pieces = 0, "", 0
 
 
 class Try:
-    __slots__ = "id op node life request goes over pieces read".split()
+    """One request to one proxy. `read`: the proxy has read it; `over`: how it ended."""
+
+    __slots__ = "id operation node life request attempts over pieces read".split()
 
-    def __init__(self, id, op, node):
-        self.id, self.op, self.node, self.life = id, op, node, node.life
-        self.request, self.goes, self.over = 0, [], ""
-        self.pieces, self.read = op.pieces, False
+    def __init__(self, try_id: str, operation: Operation, node: nodes.Node) -> None:
+        """It is about to be sent."""
+        self.id, self.operation, self.node, self.life = try_id, operation, node, node.life
+        self.request, self.over = 0, ""
+        self.attempts: list[attempts.SentAttempt] = []
+        self.pieces, self.read = operation.pieces, False
 
 
-class ClientMixin:
-    """The world's clients. `mix` gives rows of (share, kind, items, service)."""
+class ClientMixin(fleet_base.FleetBase):
+    """The world's clients. `taken_in`: the proxies that the platform takes for ready."""
 
-    def clients_start(self):
-        self.ops, self.tries, self.request_n, self.op_n = {}, {}, 0, 0
-        self.taken_in, self.misses = set(), {}
-        self.flow, self.mix = 0.0, []
+    def clients_start(self) -> None:
+        """No traffic yet."""
+        self.tries = {}
+        self.last_request, self.last_operation = 0, 0
+        self.taken_in = set()
+        self.misses: dict[str, int] = {}
+        self.flow = 0.0
+        self.mix: list[Mix] = []
         self.later(0, self.probe)
 
-    def probe(self):
+    def probe(self) -> None:
         """Readiness as the platform asks for it: out after two misses, in with the first good answer."""
-        for n in self.proxies():
-            ok = n.member is not None and not n.frozen and n.member.ready()
-            self.misses[n.name] = 0 if ok else self.misses.get(n.name, 1) + 1
-            if ok:
-                self.taken_in.add(n.name)
-            elif self.misses[n.name] >= 2:
-                self.taken_in.discard(n.name)
-        self.later(PROBE, self.probe)
-
-    def traffic(self, per_s, mix):
-        begin = not self.flow
-        self.flow, self.mix = per_s, mix
-        if begin and per_s:
-            self.later(1, self.next_op)
-
-    def next_op(self):
+        for node in self.proxies():
+            ready = node.member is not None and not node.frozen and node.member.ready()
+            self.misses[node.name] = 0 if ready else self.misses.get(node.name, 1) + 1
+            if ready:
+                self.taken_in.add(node.name)
+            elif self.misses[node.name] >= MISSES_OUT:
+                self.taken_in.discard(node.name)
+        self.later(READINESS_MS, self.probe)
+
+    # traffic
+
+    def traffic(self, per_second: float, mix: list[Mix]) -> None:
+        """From now on so many operations a second; none with 0."""
+        begins = not self.flow
+        self.flow, self.mix = per_second, mix
+        if begins and per_second:
+            self.later(1, self.next_operation)
+
+    def next_operation(self) -> None:
+        """A random operation, and when the next one comes."""
         if not self.flow:
             return
-        _, kind, items, service = self.rng.choices(self.mix, [m[0] for m in self.mix])[0]
-        self.start_op(kind, self.rng.choice(items), self.rng.choice(self.zones), service)
-        self.later(max(1, int(self.rng.expovariate(self.flow / 1000))), self.next_op)
-
-    def start_op(self, kind, item, zone, service="s"):
-        self.op_n += 1
-        ms = 5000 if kind in ("stream", "resume") else 3000
-        o = self.ops[f"o{self.op_n}"] = Op(f"o{self.op_n}", kind, item, zone, self.now, ms, service)
-        self.log("op", op=o.id, kind=kind, item=item, service=service)
-        self.send_try(o)
-        return o
-
-    def nodes_for(self, zone):
-        of = [n for n in self.proxies() if self.zone_of(n.name) == zone]
-        good = [n for n in of if n.name in self.taken_in]
-        if good and 2 * len(good) < len(of):
-            return of
-        return good or [n for n in self.proxies() if n.name in self.taken_in] or self.proxies()
-
-    def send_try(self, o):
-        if o.over:
+        chosen = self.rng.choices(self.mix, [part.share for part in self.mix])[0]
+        item, zone = self.rng.choice(chosen.items), self.rng.choice(self.zones)
+        self.start_operation(chosen.kind, item, zone, chosen.service)
+        pause = int(self.rng.expovariate(self.flow / MS_PER_S))
+        self.later(max(1, pause), self.next_operation)
+
+    def start_operation(self, kind: str, item: str, zone: str, service: str = "s") -> Operation:
+        """A client in a zone wants something now."""
+        self.last_operation += 1
+        ms = STREAM_MS if kind in attempts.STREAMS else REQUEST_MS
+        operation_id = f"o{self.last_operation}"
+        operation = Operation(operation_id, kind, item, zone, self.now, ms, service)
+        self.record(request_rows.Operation, operation.id, kind, item, service)
+        self.send_try(operation)
+        return operation
+
+    def nodes_for(self, zone: str) -> list[nodes.Node]:
+        """The proxies that a client in this zone is sent to: the zone's own, unless most of them are not
+        ready."""
+        own = [node for node in self.proxies() if self.zone_of(node.name) == zone]
+        ready = [node for node in own if node.name in self.taken_in]
+        if ready and 2 * len(ready) < len(own):
+            return own
+        return ready or [node for node in self.proxies() if node.name in self.taken_in] or self.proxies()
+
+    def send_try(self, operation: Operation) -> None:
+        """Sends the request to a proxy, once more or for the first time."""
+        if operation.over:
             return
-        left = o.until - self.now
-        if left < 50 or o.tries >= TRIES:
-            self.finish_op(o, "gave-up")
+        left = operation.until - self.now
+        if left < LEAST_TIME_MS or operation.tries >= TRIES:
+            self.finish_operation(operation, "gave-up")
             return
-        o.tries += 1
-        n = self.rng.choice(self.nodes_for(o.zone))
-        t = Try(f"{o.id}.{o.tries}", o, n)
-        self.log("try", op=o.id, node=n.name, **{"try": t.id})
-        if n.member is None:
-            self.later(self.rng.randrange(2, 8), self.end_try, t, "unread", 0, 0)
+        operation.tries += 1
+        node = self.rng.choice(self.nodes_for(operation.zone))
+        client_try = Try(f"{operation.id}.{operation.tries}", operation, node)
+        self.record(request_rows.Try, operation.id, node.name, client_try.id)
+        if node.member is None:
+            self.later(self.rng.randrange(2, 8), self.end_try, client_try, "unread", 0, 0)
             return
-        self.request_n += 1
-        t.request = self.request_n
-        self.tries[n.name, n.life, t.request] = t
-        host, path = "desk.example", f"/{o.kind}/1"
-        ev = relay_events.Arrived(self.now, t.request, host, path, identifiers.Item(o.item), int(left), 100)
-        self.later(self.rng.randrange(1, 5), self.read, n, t, ev)
-        self.later(left, self.end_try, t, "gone", 0, 0)
-        if o.kind in ("safe", "plain", "resume"):
-            self.later(min(UNREAD, left // 3), self.unread, t)
-
-    def read(self, n, t, ev):
-        if n.life != t.life or n.member is None:
-            self.end_try(t, "unread", 0, 0)
+        self.last_request += 1
+        client_try.request = self.last_request
+        self.tries[node.name, node.life, client_try.request] = client_try
+        self.later(self.rng.randrange(1, 5), self.read, client_try, self.arrived(client_try, left))
+        self.later(left, self.end_try, client_try, "gone", 0, 0)
+        if operation.kind in REPEATABLE:
+            self.later(min(UNREAD_MS, left // 3), self.unread, client_try)
+
+    def arrived(self, client_try: Try, left: int) -> relay_events.Arrived:
+        """The request as the proxy gets it."""
+        operation = client_try.operation
+        path, item = f"/{operation.kind}/1", identifiers.Item(operation.item)
+        return relay_events.Arrived(self.now, client_try.request, HOST, path, item, int(left), BODY_BYTES)
+
+    def read(self, client_try: Try, event: relay_events.Arrived) -> None:
+        """The proxy reads the request, if it is still the same process."""
+        node = client_try.node
+        if node.life != client_try.life or node.member is None:
+            self.end_try(client_try, "unread", 0, 0)
             return
-        if not n.frozen:
-            t.read = True
-        self.give(n, t.life, ev)
+        if not node.frozen:
+            client_try.read = True
+        self.give(node, client_try.life, event)
 
-    def unread(self, t):
-        if not t.read and not t.over:
-            self.end_try(t, "unread", 0, 0)
+    def unread(self, client_try: Try) -> None:
+        """A client that may repeat its request does not wait long for it to be read."""
+        if not client_try.read and not client_try.over:
+            self.end_try(client_try, "unread", 0, 0)
 
-    def end_try(self, t, outcome, status, retry):
+    def end_try(self, client_try: Try, outcome: str, status: int, retry: int) -> None:
         """A try's one end; what the client does next."""
-        if t.over:
+        if client_try.over:
             return
-        o, t.over = t.op, outcome
-        running = any(not g.over or self.now - g.ended < JUST for g in t.goes)
-        self.log(
-            "end", op=o.id, **{"try": t.id}, node=t.node.name, outcome=outcome, status=status, retry=retry,
-            running=running, touch=t.node.name in self.touching, left=int(o.until - self.now),
-        )  # fmt: skip
+        client_try.over = outcome
+        self.record_end(client_try, outcome, status, retry)
         if outcome in ("gone", "unread"):
-            self.give(t.node, t.life, relay_events.Left(self.now, t.request))
-        o.pieces = max(o.pieces, t.pieces) if o.kind == "resume" else 0
-        if outcome == "done" or status in FINAL or outcome == "gone":
-            self.finish_op(o, outcome if outcome != "own" else str(status))
+            left = relay_events.Left(self.now, client_try.request)
+            self.give(client_try.node, client_try.life, left)
+        operation = client_try.operation
+        resumed = operation.kind == "resume"
+        operation.pieces = max(operation.pieces, client_try.pieces) if resumed else 0
+        if outcome in ("done", "gone") or status in FINAL_STATUSES:
+            self.finish_operation(operation, outcome if outcome != "own" else str(status))
             return
-        promised = status in PROMISES or outcome == "unread"
-        if o.kind in ("once", "stream") and not promised:
-            self.finish_op(o, "unknown")
+        never_ran = status in NEVER_RAN_STATUSES or outcome == "unread"
+        if operation.kind in ONCE_ONLY and not never_ran:
+            self.finish_operation(operation, "unknown")
             return
-        rest = max(0, o.until - self.now) / 3
-        self.later(int(min(retry or 100, rest)) + 1, self.send_try, o)
-
-    def finish_op(self, o, outcome):
-        o.over = outcome
-        self.log("op-end", op=o.id, outcome=outcome, item=o.item, kind=o.kind, ms=int(self.now - o.born))
-
-    # what relays do
-
-    def client_done(self, t):
-        self.later(self.rng.randrange(1, 5), self.end_try, t, "done", 200, 0)
-
-    def of(self, n, request):
-        return self.tries.get((n.name, n.life, request))
-
-    def do_close(self, n, e):
-        t = self.of(n, e.request)
-        self.later(1, self.end_try, t, "own", e.status, e.retry_after)
-
-    def do_pass(self, n, e):
-        self.later(1, self.end_try, self.of(n, e.request), "failed", 500, 0)
-
-    def do_cut(self, n, e):
-        self.later(1, self.end_try, self.of(n, e.request), "cut", 0, 0)
-
-    def cut_clients(self, n):
+        most = max(0, operation.until - self.now) / 3
+        self.later(int(min(retry or COME_BACK_MS, most)) + 1, self.send_try, operation)
+
+    def record_end(self, client_try: Try, outcome: str, status: int, retry: int) -> None:
+        """How a try ended, for the checks."""
+        running = any(
+            not attempt.over or self.now - attempt.ended_at < RUNNING_WITHIN_MS
+            for attempt in client_try.attempts
+        )
+        self.record(
+            request_rows.TryEnd,
+            client_try.operation.id,
+            client_try.id,
+            client_try.node.name,
+            outcome,
+            status,
+            retry,
+            running,
+            client_try.node.name in self.touching,
+            int(client_try.operation.until - self.now),
+        )
+
+    def finish_operation(self, operation: Operation, outcome: str) -> None:
+        """The client has what it wanted, or gives up."""
+        operation.over = outcome
+        took = int(self.now - operation.born)
+        self.record(request_rows.OperationEnd, operation.id, outcome, operation.item, operation.kind, took)
+
+    # what proxies do
+
+    def client_done(self, client_try: Try) -> None:
+        """The whole answer is under way to the client."""
+        self.later(self.rng.randrange(1, 5), self.end_try, client_try, "done", 200, 0)
+
+    def try_of(self, node: nodes.Node, request: int) -> Try | None:
+        """The client's side of a request that a proxy has."""
+        return self.tries.get((node.name, node.life, request))
+
+    def do_close(self, node: nodes.Node, effect: relay_events.Close) -> None:
+        """The proxy answers by itself."""
+        client_try = self.try_of(node, effect.request)
+        self.later(1, self.end_try, client_try, "own", effect.status, effect.retry_after)
+
+    def do_pass(self, node: nodes.Node, effect: relay_events.Pass) -> None:
+        """The proxy passes a failure on."""
+        self.later(1, self.end_try, self.try_of(node, effect.request), "failed", 500, 0)
+
+    def do_cut(self, node: nodes.Node, effect: relay_events.Cut) -> None:
+        """The proxy ends an answer that is not complete."""
+        self.later(1, self.end_try, self.try_of(node, effect.request), "cut", 0, 0)
+
+    def cut_clients(self, node: nodes.Node) -> None:
         """The process ended: its clients see closed connections."""
-        for k, t in list(self.tries.items()):
-            if k[0] == n.name and k[1] == n.life and not t.over:
-                self.later(2, self.end_try, t, "cut" if t.read else "unread", 0, 0)
+        for (name, life, _), client_try in list(self.tries.items()):
+            if name == node.name and life == node.life and not client_try.over:
+                self.later(2, self.end_try, client_try, "cut" if client_try.read else "unread", 0, 0)
--- a/basaltport/simulation/routes/control.py
+++ b/basaltport/simulation/routes/control.py
@@ -1,4 +1,4 @@
-"""All scenarios of the control machines, and the play that knows them."""
+"""All scenarios of the controllers, and the play that knows them."""
 
 import basaltport.simulation.routes.control_losses as control_losses
 import basaltport.simulation.routes.control_play as control_play
@@ -8,4 +8,6 @@
 
 
 class Play(control_play.ControlPlay):
+    """A run of one of the scenarios of the controllers."""
+
     SCENARIOS = SCENARIOS
--- a/basaltport/simulation/routes/control_checks.py
+++ b/basaltport/simulation/routes/control_checks.py
@@ -1,140 +1,153 @@
-"""What must hold of the control machines, checked over a trace, beside the checks of routes."""
-
-import basaltport.simulation.routes.checks as routechecks
-
+"""What must hold of the controllers, checked over a trace, beside the checks of the routed path."""
+
+import basaltport.simulation.finding as finding
+import basaltport.simulation.routes.operator_checks as operator_checks
+import basaltport.simulation.routes.operator_rows as operator_rows
+import basaltport.simulation.routes.process_rows as process_rows
+import basaltport.simulation.routes.run_facts as run_facts
+import basaltport.simulation.trace as trace
+
+Finding = finding.Finding
+ACKNOWLEDGED = 200
+PRECONDITION_FAILED = 412
 UNCLEAR = (0, 408, 429, 500, 502, 503, 504)
-find = routechecks.find
+NOT_REJECTED = (ACKNOWLEDGED, *UNCLEAR)
+
+InForce = process_rows.Kept | process_rows.Edition | operator_rows.ReadEnd
 
 
-def stale_read(trace, about):
+def stale_read(rows: trace.Trace, facts: run_facts.RunFacts) -> list[Finding]:
     """A read begun after an acknowledgement, or after another read's end, gives that or something newer."""
-    out, newest, least, sent = [], 0, {}, changes(trace)
-    for r in trace:
-        if r["k"] == "answer" and r["verb"] == "configure" and r["status"] == 200:
-            newest = max(newest, sent[r["change"]]["edition"])
-        if r["k"] == "read":
-            least[r["read"]] = (newest, r["node"])
-        if r["k"] == "read-end" and r["status"] == 200:
-            edition, node = least[r["read"]]
-            if r["edition"] < edition:
-                out.append(
-                    find("stale-read", r, f"{node} gave {r['edition']}; {edition} was in force before")
-                )
-            newest = max(newest, r["edition"])
-    return out
-
-
-def changes(trace):
-    """The rows of changes by id."""
-    return {r["change"]: r for r in trace if r["k"] == "change"}
-
-
-def confirmed(trace):
-    """(row, edition) of each acknowledged configuration."""
-    sent = changes(trace)
-    rows = [r for r in trace if r["k"] == "answer" and r["verb"] == "configure" and r["status"] == 200]
-    return [(r, sent[r["change"]]["edition"]) for r in rows]
-
-
-def two_confirmed(trace, about):
+    newest, sent = 0, operator_checks.changes(rows)
+    least: dict[str, tuple[int, str]] = {}
+    findings = []
+    for row in rows:
+        if isinstance(row, operator_rows.ChangeAnswered):
+            if row.verb == "configure" and row.status == ACKNOWLEDGED:
+                newest = max(newest, sent[row.change].edition)
+        elif isinstance(row, operator_rows.Read):
+            least[row.read] = (newest, row.node)
+        elif isinstance(row, operator_rows.ReadEnd) and row.status == ACKNOWLEDGED:
+            edition, node = least[row.read]
+            if row.edition < edition:
+                text = f"{node} gave {row.edition}; {edition} was in force before"
+                findings.append(Finding("stale-read", row.at_ms, text))
+            newest = max(newest, row.edition)
+    return findings
+
+
+def confirmed(rows: trace.Trace) -> list[tuple[operator_rows.ChangeAnswered, int]]:
+    """Each acknowledgement of a configuration, with its edition."""
+    sent = operator_checks.changes(rows)
+    return [(row, sent[row.change].edition) for row in operator_checks.acknowledged(rows, "configure")]
+
+
+def in_force(rows: trace.Trace) -> list[InForce]:
+    """What tells which configuration is in force somewhere."""
+    return [row for row in rows if isinstance(row, InForce)]
+
+
+def two_confirmed(rows: trace.Trace, facts: run_facts.RunFacts) -> list[Finding]:
     """Under one number one change is confirmed, and nowhere is another in force."""
-    out, by_number = [], {}
-    for r, edition in confirmed(trace):
-        first = by_number.setdefault(edition, r["change"])
-        if first != r["change"]:
-            out.append(find("two-confirmed", r, f"{first} and {r['change']} both under {edition}"))
-    for r in trace:
-        if r["k"] not in ("kept", "edition", "read-end") or not r["change"]:
+    findings, change_of = [], dict[int, str]()
+    for answer, edition in confirmed(rows):
+        first = change_of.setdefault(edition, answer.change)
+        if first != answer.change:
+            text = f"{first} and {answer.change} both under {edition}"
+            findings.append(Finding("two-confirmed", answer.at_ms, text))
+    for row in in_force(rows):
+        if not row.change or change_of.get(row.edition, row.change) == row.change:
             continue
-        if by_number.get(r["edition"], r["change"]) != r["change"]:
-            text = f"{r['change']} in force as {r['edition']}, confirmed is {by_number[r['edition']]}"
-            out.append(find("two-confirmed", r, text))
-    return out
+        text = f"{row.change} in force as {row.edition}, confirmed is {change_of[row.edition]}"
+        findings.append(Finding("two-confirmed", row.at_ms, text))
+    return findings
 
 
-def wrongly_refused(trace, about):
+def wrongly_refused(rows: trace.Trace, facts: run_facts.RunFacts) -> list[Finding]:
     """Every change here is valid, so it is refused only where another one on its base came before."""
-    out, on_base, sent = [], {}, changes(trace)
-    for r in trace:
-        if r["k"] == "change" and r["verb"] == "configure":
-            on_base.setdefault(r["base"], []).append(r["change"])
-        if r["k"] != "answer" or r["status"] in (200, *UNCLEAR):
+    on_base: dict[int | None, list[str]] = {}
+    sent, findings = operator_checks.changes(rows), []
+    for row in rows:
+        if isinstance(row, operator_rows.Change) and row.verb == "configure":
+            on_base.setdefault(row.base, []).append(row.change)
+        if not isinstance(row, operator_rows.ChangeAnswered) or row.status in NOT_REJECTED:
             continue
-        base = sent[r["change"]]["base"]
-        others = [c for c in on_base.get(base, ()) if c != r["change"]]
-        if r["status"] != 412 or r["verb"] != "configure" or not others:
-            out.append(find("wrongly-refused", r, f"{r['change']} on {base} was answered {r['status']}"))
-    return out
-
-
-def refused_but_taken(trace, about):
-    """What was refused is in force at no control machine, and no read gives it."""
-    no = {r["change"] for r in trace if r["k"] == "answer" and r["status"] not in (200, *UNCLEAR)}
+        base = sent[row.change].base
+        others = [change for change in on_base.get(base, ()) if change != row.change]
+        if row.status != PRECONDITION_FAILED or row.verb != "configure" or not others:
+            text = f"{row.change} on {base} was answered {row.status}"
+            findings.append(Finding("wrongly-refused", row.at_ms, text))
+    return findings
+
+
+def refused_but_taken(rows: trace.Trace, facts: run_facts.RunFacts) -> list[Finding]:
+    """What was refused is in force at no controller, and no read gives it."""
+    answers = trace.of_kind(rows, operator_rows.ChangeAnswered)
+    rejected = {row.change for row in answers if row.status not in NOT_REJECTED}
     return [
-        find("refused-but-taken", r, f"{r['change']} was refused and is in force as {r['edition']}")
-        for r in trace
-        if r["k"] in ("kept", "read-end") and r["change"] in no
+        Finding("refused-but-taken", row.at_ms, f"{row.change} was refused and is in force as {row.edition}")
+        for row in in_force(rows)
+        if not isinstance(row, process_rows.Edition) and row.change in rejected
     ]
 
 
-def repeat_refused(trace, about):
+def repeat_refused(rows: trace.Trace, facts: run_facts.RunFacts) -> list[Finding]:
     """A change that was confirmed, sent again as it was, is confirmed again or left open."""
-    yes = {r["change"] for r in trace if r["k"] == "answer" and r["status"] == 200}
+    answers = trace.of_kind(rows, operator_rows.ChangeAnswered)
+    taken = {row.change for row in answers if row.status == ACKNOWLEDGED}
     return [
-        find("repeat-refused", r, f"{r['change']} again at {r['node']}: {r['status']}")
-        for r in trace
-        if r["k"] == "repeat" and r["change"] in yes and r["status"] not in (200, *UNCLEAR)
+        Finding("repeat-refused", row.at_ms, f"{row.change} again at {row.node}: {row.status}")
+        for row in trace.of_kind(rows, operator_rows.Repeat)
+        if row.change in taken and row.status not in NOT_REJECTED
     ]
 
 
-def keeper_back(trace, about):
-    """In one life of a control machine no older configuration comes into force."""
-    out, newest = [], {}
-    for r in trace:
-        if r["k"] != "kept":
-            continue
-        life = r["node"], r["life"]
-        if r["edition"] < newest.get(life, 0):
-            out.append(find("keeper-back", r, f"{r['node']} went from {newest[life]} to {r['edition']}"))
-        newest[life] = r["edition"]
-    return out
+def controller_back(rows: trace.Trace, facts: run_facts.RunFacts) -> list[Finding]:
+    """In one life of a controller no older configuration comes into force."""
+    findings, newest = [], dict[tuple[str, int], int]()
+    for row in trace.of_kind(rows, process_rows.Kept):
+        life = row.node, row.life
+        if row.edition < newest.get(life, 0):
+            text = f"{row.node} went from {newest[life]} to {row.edition}"
+            findings.append(Finding("keeper-back", row.at_ms, text))
+        newest[life] = row.edition
+    return findings
 
 
-def old_given(trace, about):
+def old_given(rows: trace.Trace, facts: run_facts.RunFacts) -> list[Finding]:
     """No proxy, in touch or not, takes up a configuration that was superseded `apply_ms` ago."""
-    out, acked = [], [(r["t"], edition) for r, edition in confirmed(trace)]
-    for r in trace:
-        if r["k"] != "edition":
-            continue
-        least = max((e for t, e in acked if t < r["t"] - about["apply_ms"]), default=0)
-        if r["edition"] < least:
-            out.append(find("old-given", r, f"{r['node']} took up {r['edition']}, {least} was acknowledged"))
-    return out
-
-
-def one_holder(trace, about):
-    """At most one control machine holds at a time, and it has all that is acknowledged in force."""
-    out = []
-    for r in trace:
-        if r["k"] != "holders":
-            continue
-        if len(r["nodes"]) > 1:
-            out.append(find("one-holder", r, f"{r['nodes']} hold at once"))
-        if r["behind"]:
-            out.append(
-                find("holder-behind", r, f"{r['behind']} without {r['acked']}, which was acknowledged")
-            )
-    return out
-
-
-def bounds(trace, about):
+    acknowledged = [(answer.at_ms, edition) for answer, edition in confirmed(rows)]
+    findings = []
+    for row in trace.of_kind(rows, process_rows.Edition):
+        before = row.at_ms - facts.timings.apply_ms
+        least = max((edition for time, edition in acknowledged if time < before), default=0)
+        if row.edition < least:
+            text = f"{row.node} took up {row.edition}, {least} was acknowledged"
+            findings.append(Finding("old-given", row.at_ms, text))
+    return findings
+
+
+def one_holder(rows: trace.Trace, facts: run_facts.RunFacts) -> list[Finding]:
+    """At most one controller holds the leader's lease at a time, and it has all that is acknowledged in
+    force."""
+    findings = []
+    for row in trace.of_kind(rows, process_rows.Holders):
+        if len(row.nodes) > 1:
+            findings.append(Finding("one-holder", row.at_ms, f"{list(row.nodes)} hold at once"))
+        if row.behind:
+            text = f"{list(row.behind)} without {row.acked}, which was acknowledged"
+            findings.append(Finding("holder-behind", row.at_ms, text))
+    return findings
+
+
+def bounds(rows: trace.Trace, facts: run_facts.RunFacts) -> list[Finding]:
     """What was to be there within a stated time was."""
-    out = []
-    for r in trace:
-        if r["k"] == "bound" and (r["took"] is None or r["took"] > r["most"]):
-            took = "never" if r["took"] is None else f"after {r['took']} ms"
-            out.append(find(r["what"], r, f"there {took}, to be there within {r['most']} ms"))
-    return out
+    findings = []
+    for row in trace.of_kind(rows, operator_rows.Bound):
+        if row.took is None or row.took > row.most:
+            took = "never" if row.took is None else f"after {row.took} ms"
+            findings.append(Finding(row.what, row.at_ms, f"there {took}, to be there within {row.most} ms"))
+    return findings
 
 
 CHECKS = (
@@ -143,12 +156,13 @@
     wrongly_refused,
     refused_but_taken,
     repeat_refused,
-    keeper_back,
+    controller_back,
     old_given,
     one_holder,
     bounds,
 )
 
 
-def run(trace, about):
-    return [f for check in CHECKS for f in check(trace, about)]
+def run(rows: trace.Trace, facts: run_facts.RunFacts) -> list[Finding]:
+    """The findings of every check."""
+    return [found for check in CHECKS for found in check(rows, facts)]
--- a/basaltport/simulation/routes/engine.py
+++ b/basaltport/simulation/routes/engine.py
@@ -1,79 +1,141 @@
 """What a replica of many models holds and does as ordered, with durations, on virtual time."""
 
 import collections
+import typing
+
+import basaltport.placement.effects as effects
+
+UNLOAD_MS = 2
+ADAPTER_MS = 8
+
+
+class Fleet(typing.Protocol):
+    """What an engine needs of its fleet.
+
+    `mb`: sizes of models; `room`: MB that one replica holds; `places`: adapters that one replica holds;
+    `load_ms`, `disk_ms`: durations of a load from the store and from the replica's disk; `at_once`: loads
+    that the store bears without getting slower; `loads`: how many there were, by origin; `store`: when loads
+    from the store began; `under`: when those that are under way end."""
+
+    now: typing.Any
+    mb: dict[str, float]
+    adapter_mb: float
+    room: float
+    places: int
+    load_ms: int
+    disk_ms: int
+    at_once: int
+    loads: collections.Counter[str]
+    store: list[int]
+    under: list[int]
+
+
+class Job(typing.NamedTuple):
+    """A load or an unload that is under way; `adapter` is None for a model."""
+
+    kind: str
+    model: str
+    adapter: str | None
+    ends_at: int
+
+    def is_of(self, order: effects.Order) -> bool:
+        """Whether this is what an order asks for."""
+        return (self.kind, self.model, self.adapter) == (order.kind, order.model, order.adapter)
 
 
 class Engine:
-    """`fleet` gives `now`, sizes (`mb`, `adapter_mb`, `room`, `places`) and times (`load_ms`, `disk_ms`,
-    `at_once`); it keeps `loads`, `store` (when loads from the store began) and `under` (when they end)."""
+    """Holds models and adapters and takes orders, one job at a time.
 
-    def __init__(self, fleet, rid, zone, held=()):
-        self.fleet, self.id, self.zone = fleet, rid, zone
-        self.models = {m: set() for m in held}
+    `models`: adapters by model that is held; `disk`: models whose weights are on the replica's disk; `runs`:
+    requests that run, by model; `taken`: jobs that were begun; `leaves`: when it ends, if that is known;
+    `dark`: nobody can reach it."""
+
+    def __init__(self, fleet: Fleet, replica_id: str, zone: str, held: typing.Collection[str] = ()) -> None:
+        """It holds these models from the start."""
+        self.fleet, self.id, self.zone = fleet, replica_id, zone
+        self.models: dict[str, set[str]] = {model: set() for model in held}
         self.disk = set(held)
-        self.job = None
-        self.runs = collections.Counter()
+        self.job: Job | None = None
+        self.runs: collections.Counter[str] = collections.Counter()
         self.fence = self.taken = 0
-        self.state, self.leaves, self.dark = "ready", None, False
-        self.began = []
+        self.state = "ready"
+        self.leaves: int | None = None
+        self.dark = False
 
-    def size(self):
-        f = self.fleet
-        return sum(f.mb[m] + len(a) * f.adapter_mb for m, a in self.models.items())
+    def size(self) -> float:
+        """MB that is held."""
+        fleet = self.fleet
+        return sum(
+            fleet.mb[model] + len(adapters) * fleet.adapter_mb for model, adapters in self.models.items()
+        )
 
-    def settle(self):
+    def finish_job(self) -> None:
+        """Ends the job if its time has come; a model is not unloaded while requests run on it."""
         if self.job is None:
             return
-        kind, m, a, end = self.job
-        if kind == "unload" and not a and self.runs[m] > 0 or self.fleet.now < end:
+        kind, model, adapter, ends_at = self.job
+        in_use = kind == "unload" and not adapter and self.runs[model] > 0
+        if in_use or self.fleet.now < ends_at:
             return
         self.job = None
         if kind == "load":
-            self.disk.add(m)
-            held = self.models.setdefault(m, set())
-            if a:
-                held.add(a)
-        elif a:
-            self.models.get(m, set()).discard(a)
+            self.disk.add(model)
+            held = self.models.setdefault(model, set())
+            if adapter:
+                held.add(adapter)
+        elif adapter:
+            self.models.get(model, set()).discard(adapter)
         else:
-            self.models.pop(m, None)
+            self.models.pop(model, None)
 
-    def order(self, e):
-        f = self.fleet
-        self.settle()
-        if e.fence < self.fence:
+    def order(self, order: effects.Order) -> str:
+        """Takes an order, and says what comes of it: accepted, done, busy, fenced or moved."""
+        self.finish_job()
+        if order.fence < self.fence:
             return "fenced"
-        self.fence = e.fence
-        if self.job and self.job[:3] == (e.kind, e.model, e.adapter):
-            return "accepted"
+        self.fence = order.fence
         if self.job:
-            return "busy"
-        there = e.model in self.models and (not e.adapter or e.adapter in self.models[e.model])
-        if there == (e.kind == "load"):
+            return "accepted" if self.job.is_of(order) else "busy"
+        there = self.holds(order.model, order.adapter)
+        if there == (order.kind == "load"):
             return "done"
-        if e.kind == "load" and e.adapter and e.model not in self.models:
+        if order.kind == "load" and order.adapter and order.model not in self.models:
             return "moved"
         self.taken += 1
-        if e.kind == "load":
-            size = f.adapter_mb if e.adapter else f.mb[e.model]
-            if self.size() + size > f.room or e.adapter and sum(map(len, self.models.values())) >= f.places:
-                return self.over(e)
-        self.job = (e.kind, e.model, e.adapter, f.now + self.lasts(e))
+        if order.kind == "load" and not self.fits(order):
+            return self.over_room(order)
+        self.job = Job(order.kind, order.model, order.adapter, self.fleet.now + self.duration(order))
         return "accepted"
 
-    def over(self, e):
-        raise AssertionError(f"{self.id} is told to hold too much: {e}")
-
-    def lasts(self, e):
-        f = self.fleet
-        if e.kind == "unload" or e.adapter:
-            return 2 if e.kind == "unload" else 8
-        if e.model in self.disk:
-            f.loads["disk"] += 1
-            return f.disk_ms
-        f.loads["store"] += 1
-        f.store.append(f.now)
-        f.under = [t for t in f.under if t > f.now]
-        ms = int(f.load_ms * max(1, (len(f.under) + 1) / f.at_once))
-        f.under.append(f.now + ms)
-        return ms
+    def holds(self, model: str, adapter: str | None) -> bool:
+        """Whether it holds a model, or a model with an adapter."""
+        return model in self.models and (not adapter or adapter in self.models[model])
+
+    def fits(self, order: effects.Order) -> bool:
+        """Whether there is room for what it is ordered to load."""
+        fleet = self.fleet
+        if order.adapter:
+            adapters = sum(map(len, self.models.values()))
+            return self.size() + fleet.adapter_mb <= fleet.room and adapters < fleet.places
+        return self.size() + fleet.mb[order.model] <= fleet.room
+
+    def over_room(self, order: effects.Order) -> str:
+        """It is ordered to hold more than it has room for."""
+        raise AssertionError(f"{self.id} is told to hold too much: {order}")
+
+    def duration(self, order: effects.Order) -> int:
+        """Ms that a job takes; loads from the store take longer while more than `at_once` are under way."""
+        fleet = self.fleet
+        if order.kind == "unload":
+            return UNLOAD_MS
+        if order.adapter:
+            return ADAPTER_MS
+        if order.model in self.disk:
+            fleet.loads["disk"] += 1
+            return fleet.disk_ms
+        fleet.loads["store"] += 1
+        fleet.store.append(fleet.now)
+        fleet.under = [ends_at for ends_at in fleet.under if ends_at > fleet.now]
+        duration = int(fleet.load_ms * max(1, (len(fleet.under) + 1) / fleet.at_once))
+        fleet.under.append(fleet.now + duration)
+        return duration
--- a/basaltport/simulation/routes/mayhem.py
+++ b/basaltport/simulation/routes/mayhem.py
@@ -1,236 +1,304 @@
 """Random schedules of every fault on the path of routes, and the fewest faults that a failing run needs."""
 
+import functools
 import random
+import typing
 
-import basaltport.simulation.routes.scenes as routescenes
+import basaltport.simulation.routes.fleet_world as fleet_world
+import basaltport.simulation.routes.plays as plays
+import basaltport.simulation.routes.process_rows as process_rows
+import basaltport.simulation.routes.scenes as scenes
 
 FAULTS = 10
+LASTS_MS = (200, 4000)
+PAUSE_MS = (100, 2500)
+WIPED_SHARE, POWER_SHARE = 0.2, 0.6
+HALF = 0.5
+SHORT_NOTICE_SHARE, NOTICE_MS = 0.4, 2000
+UNTOUCHED_PROCESSES = 2
+LEAST_REPLICAS, LEAST_REPLICAS_TO_LEAVE, LEAST_PROXIES = 5, 7, 3
+RARE_MODELS = 8
+PEACE_MS = 6000
 
 
-def schedule(seed, name="mayhem"):
-    """(fault, two choices in 0 to 1, how long, pause): drawn alone, so leaving one out moves no other."""
+class PlannedFault(typing.NamedTuple):
+    """A fault of a random schedule: two choices in 0 to 1, how long it lasts, and the pause after its
+    begin."""
+
+    kind: str
+    first: float
+    second: float
+    lasts_ms: int
+    pause_ms: int
+
+
+Fault = typing.Callable[[fleet_world.World, float, float, int], None]
+
+
+def schedule(seed: int, name: str = "mayhem") -> list[PlannedFault]:
+    """The faults of a seed; they are drawn alone, so leaving one out moves no other."""
     rng = random.Random(f"routes-{seed}")
-    identifiers = sorted(KINDS if name == "mayhem" else OUTSIDE)
-    rows = []
+    kinds = sorted(KINDS if name == "mayhem" else OUTSIDE)
+    planned = []
     for _ in range(FAULTS):
-        x, y = rng.random(), rng.random()
-        rows.append((rng.choice(identifiers), x, y, rng.randrange(200, 4000), rng.randrange(100, 2500)))
-    return rows
+        first, second = rng.random(), rng.random()
+        kind = rng.choice(kinds)
+        lasts_ms, pause_ms = rng.randrange(*LASTS_MS), rng.randrange(*PAUSE_MS)
+        planned.append(PlannedFault(kind, first, second, lasts_ms, pause_ms))
+    return planned
 
 
-def pick(xs, x):
-    xs = sorted(xs)
-    return xs[int(x * len(xs))]
+def pick(names: typing.Iterable[str], point: float) -> str:
+    """The name at this point, from 0 to 1, of all in order."""
+    names = sorted(names)
+    return names[int(point * len(names))]
 
 
-def up(w, first="kp"):
-    return [n.name for n in w.nodes.values() if n.member and not n.frozen and n.name[0] in first]
+def up(world: fleet_world.World, letters: str = "kp") -> list[str]:
+    """Processes that run, by the first letters of their names: controllers `k`, proxies `p`."""
+    return [
+        node.name
+        for node in world.nodes.values()
+        if node.member and not node.frozen and node.name[0] in letters
+    ]
 
 
-def ready(w):
-    return [r.id for r in w.replicas.values() if r.state == "ready"]
+def ready(world: fleet_world.World) -> list[str]:
+    """Replicas that take requests."""
+    return [replica.id for replica in world.replicas.values() if replica.state == "ready"]
 
 
-def kill(w, x, y, ms):
-    """A process, or with y under a third a keeper's power; its disk goes only where all others are well."""
-    if len(up(w)) < len(w.nodes) - 2:
+def kill(world: fleet_world.World, first: float, second: float, ms: int) -> None:
+    """A process is killed, or with `second` under a half a controller loses power; its disk goes only where
+    all others run."""
+    if len(up(world)) < len(world.nodes) - UNTOUCHED_PROCESSES:
         return
-    name = pick(up(w), x)
-    keeper = w.nodes[name].disk is not None
-    wiped = keeper and y < 0.2 and len(up(w, "k")) == len(w.core) and w.calm
-    w.restart(name, keeper and y < 0.6, wiped, after=ms)
+    name = pick(up(world), first)
+    keeper = world.nodes[name].disk is not None
+    wiped = keeper and second < WIPED_SHARE and len(up(world, "k")) == len(world.core) and world.calm
+    world.restart(name, keeper and second < POWER_SHARE, wiped, after=ms)
 
 
-def freeze(w, x, y, ms):
-    if len(up(w)) < len(w.nodes) - 2:
+def freeze(world: fleet_world.World, first: float, second: float, ms: int) -> None:
+    """A process is frozen for a while."""
+    if len(up(world)) < len(world.nodes) - UNTOUCHED_PROCESSES:
         return
-    name = pick(up(w), x)
-    w.freeze(name)
-    w.later(ms, w.freeze, name, False)
+    name = pick(up(world), first)
+    world.freeze(name)
+    world.later(ms, world.freeze, name, False)
 
 
-def split(w, x, y, ms):
-    some = up(w)
-    if not some:
+def split(world: fleet_world.World, first: float, second: float, ms: int) -> None:
+    """One or two processes are cut off from all others."""
+    running = up(world)
+    if not running:
         return
-    w.split({pick(some, x), pick(some, y)}, x < 0.5)
-    w.later(ms, w.heal)
+    world.split({pick(running, first), pick(running, second)}, first < HALF)
+    world.later(ms, world.heal)
 
 
-def one_way(w, x, y, ms):
-    w.holding = y < 0.5
-    if up(w):
-        w.cut(pick(up(w), x), pick(up(w), y), both=False)
-    w.later(ms, w.heal)
+def one_way(world: fleet_world.World, first: float, second: float, ms: int) -> None:
+    """Nothing passes from one process to another; with the second under a half it is held back."""
+    world.holding = second < HALF
+    if up(world):
+        world.cut(pick(up(world), first), pick(up(world), second), both=False)
+    world.later(ms, world.heal)
 
 
-def apart(w, x, y, ms):
+def apart(world: fleet_world.World, first: float, second: float, ms: int) -> None:
     """A process and a replica can't reach each other."""
-    if ready(w) and up(w):
-        w.cut(pick(up(w), x), pick(ready(w), y))
-        w.later(ms, w.heal)
+    if ready(world) and up(world):
+        world.cut(pick(up(world), first), pick(ready(world), second))
+        world.later(ms, world.heal)
 
 
-def crash(w, x, y, ms):
-    if len(ready(w)) > 5:
-        w.crash_replica(pick(ready(w), x), 1000)
+def crash(world: fleet_world.World, first: float, second: float, ms: int) -> None:
+    """A replica ends without a word."""
+    if len(ready(world)) > LEAST_REPLICAS:
+        world.crash_replica(pick(ready(world), first), 1000)
 
 
-def dark(w, x, y, ms):
-    if len(ready(w)) > 5:
-        r = pick(ready(w), x)
-        w.dark(r)
-        w.later(ms, w.dark, r, False)
+def dark(world: fleet_world.World, first: float, second: float, ms: int) -> None:
+    """Nobody can reach a replica for a while."""
+    if len(ready(world)) > LEAST_REPLICAS:
+        replica = pick(ready(world), first)
+        world.dark(replica)
+        world.later(ms, world.dark, replica, False)
 
 
-def ill(w, x, y, ms):
-    if ready(w):
-        r = w.replicas[pick(ready(w), x)]
-        r.ill = 0.6
-        w.later(ms, setattr, r, "ill", 0.0)
+def internal_errors(world: fleet_world.World, first: float, second: float, ms: int) -> None:
+    """A replica fails on most requests for a while."""
+    if ready(world):
+        replica = world.replicas[pick(ready(world), first)]
+        replica.failing = 0.6
+        world.later(ms, setattr, replica, "failing", 0.0)
 
 
-def release(w, x, y, ms):
-    if len(ready(w)) > 7:
-        w.release(pick(ready(w), x), 2000 if y < 0.4 else None)
+def release(world: fleet_world.World, first: float, second: float, ms: int) -> None:
+    """A replica leaves in order, or with `second` under 0.4 at short notice."""
+    if len(ready(world)) > LEAST_REPLICAS_TO_LEAVE:
+        world.release(pick(ready(world), first), NOTICE_MS if second < SHORT_NOTICE_SHARE else None)
 
 
-def reuse(w, x, y, ms):
-    if len(ready(w)) > 7:
-        r = w.replicas[pick(ready(w), x)]
-        w.crash_replica(r.id, None)
-        w.later(2000, w.start_replica, "t" if r.service == "s" else "s", r.zone, (), 0, r.address)
+def reuse(world: fleet_world.World, first: float, second: float, ms: int) -> None:
+    """A replica's address is soon that of another service's."""
+    if len(ready(world)) > LEAST_REPLICAS_TO_LEAVE:
+        replica = world.replicas[pick(ready(world), first)]
+        world.crash_replica(replica.id, None)
+        world.later(
+            2000,
+            world.start_replica,
+            "t" if replica.service == "s" else "s",
+            replica.zone,
+            (),
+            0,
+            replica.address,
+        )
 
 
-def evacuate(w, x, y, ms):
-    z = pick(w.zones, x)
-    w.evacuate(z)
-    w.later(ms + 3000, w.readmit, z)
+def evacuate(world: fleet_world.World, first: float, second: float, ms: int) -> None:
+    """A zone is evacuated for a while."""
+    zone = pick(world.zones, first)
+    world.evacuate(zone)
+    world.later(ms + 3000, world.readmit, zone)
 
 
-def configure(w, x, y, ms):
-    w.configure()
+def configure(world: fleet_world.World, first: float, second: float, ms: int) -> None:
+    """A configuration is taken."""
+    world.configure()
 
 
-def race(w, x, y, ms):
-    w.race()
+def race(world: fleet_world.World, first: float, second: float, ms: int) -> None:
+    """Two operators build on the same edition."""
+    world.race()
 
 
-def stall(w, x, y, ms):
-    name = pick(w.core, x)
-    w.stall(name)
-    w.later(ms, unstall, w, name)
+def stall(world: fleet_world.World, first: float, second: float, ms: int) -> None:
+    """A controller's disk stalls for a while."""
+    name = pick(world.core, first)
+    world.stall(name)
+    world.later(ms, unstall, world, name)
 
 
-def unstall(w, name):
-    if name in w.core:
-        w.stall(name, False)
+def unstall(world: fleet_world.World, name: str) -> None:
+    """It goes on, if it is still there."""
+    if name in world.core:
+        world.stall(name, False)
 
 
-def replace(w, x, y, ms):
-    if len(up(w, "k")) == len(w.core) and w.calm:
-        w.replace(pick(w.core, x))
+def replace(world: fleet_world.World, first: float, second: float, ms: int) -> None:
+    """A controller is replaced by an empty one."""
+    if len(up(world, "k")) == len(world.core) and world.calm:
+        world.replace(pick(world.core, first))
 
 
-def roll(w, x, y, ms):
-    if up(w, "p"):
-        w.stop_proxy(pick(up(w, "p"), x))
+def roll(world: fleet_world.World, first: float, second: float, ms: int) -> None:
+    """A proxy is restarted in order."""
+    if up(world, "p"):
+        world.stop_proxy(pick(up(world, "p"), first))
 
 
-def rare(w, x, y, ms):
-    for m in list(w.mb)[-8:]:
-        w.start_op("safe", m, pick(w.zones, y))
+def rare(world: fleet_world.World, first: float, second: float, ms: int) -> None:
+    """What is rarely wanted is requested."""
+    for model in list(world.mb)[-RARE_MODELS:]:
+        world.start_operation("safe", model, pick(world.zones, second))
 
 
-def lossy(w, x, y, ms):
+def lossy(world: fleet_world.World, first: float, second: float, ms: int) -> None:
     """Orders are taken and their answers lost."""
-    w.lost_answers = 0.4
-    w.later(ms, setattr, w, "lost_answers", 0.0)
+    world.lost_answers = 0.4
+    world.later(ms, setattr, world, "lost_answers", 0.0)
 
 
-def unlisted(w, x, y, ms):
-    w.unlist()
-    w.later(ms, w.unlist, False)
+def unlisted(world: fleet_world.World, first: float, second: float, ms: int) -> None:
+    """The list of replicas can't be read for a while."""
+    world.unlist()
+    world.later(ms, world.unlist, False)
 
 
-def blackout(w, x, y, ms):
-    """All processes end, or with y under a half all machines lose power."""
-    for n in list(w.nodes.values()):
-        if n.member:
-            w.restart(n.name, y < 0.5 and n.disk is not None, after=200 + int(ms * x))
+def blackout(world: fleet_world.World, first: float, second: float, ms: int) -> None:
+    """All processes end, or with `second` under a half all machines lose power."""
+    for node in list(world.nodes.values()):
+        if node.member:
+            world.restart(node.name, second < HALF and node.disk is not None, after=200 + int(ms * first))
 
 
-def hand_over(w, x, y, ms):
-    """A keeper is stopped in good order."""
-    if len(up(w, "k")) == len(w.core):
-        w.stop_keeper(pick(w.core, x), ms)
+def hand_over(world: fleet_world.World, first: float, second: float, ms: int) -> None:
+    """A controller is stopped in good order."""
+    if len(up(world, "k")) == len(world.core):
+        world.stop_keeper(pick(world.core, first), ms)
 
 
-def apart_from_proxies(w, x, y, ms):
-    if ready(w) and up(w, "p"):
-        w.cut(pick(up(w, "p"), x), pick(ready(w), y))
-        w.later(ms, w.heal)
+def apart_from_proxies(world: fleet_world.World, first: float, second: float, ms: int) -> None:
+    """A proxy and a replica can't reach each other."""
+    if ready(world) and up(world, "p"):
+        world.cut(pick(up(world, "p"), first), pick(ready(world), second))
+        world.later(ms, world.heal)
 
 
-def kill_proxy(w, x, y, ms):
-    if len(up(w, "p")) > 3:
-        w.restart(pick(up(w, "p"), x), after=ms)
+def kill_proxy(world: fleet_world.World, first: float, second: float, ms: int) -> None:
+    """A proxy is killed and comes back."""
+    if len(up(world, "p")) > LEAST_PROXIES:
+        world.restart(pick(up(world, "p"), first), after=ms)
 
 
-def freeze_proxy(w, x, y, ms):
-    if len(up(w, "p")) > 3:
-        name = pick(up(w, "p"), x)
-        w.freeze(name)
-        w.later(ms, w.freeze, name, False)
+def freeze_proxy(world: fleet_world.World, first: float, second: float, ms: int) -> None:
+    """A proxy is frozen for a while."""
+    if len(up(world, "p")) > LEAST_PROXIES:
+        name = pick(up(world, "p"), first)
+        world.freeze(name)
+        world.later(ms, world.freeze, name, False)
 
 
 LINKS = (split, one_way, apart)
 PROCESSES = (kill, freeze, stall, replace, roll, blackout, hand_over)
-REPLICAS = (crash, dark, ill, release, reuse, rare, lossy, unlisted)
+REPLICAS = (crash, dark, internal_errors, release, reuse, rare, lossy, unlisted)
 OPERATORS = (evacuate, configure, race)
-KINDS = {f.__name__: f for f in LINKS + PROCESSES + REPLICAS + OPERATORS}
+KINDS: dict[str, Fault] = {f.__name__: f for f in LINKS + PROCESSES + REPLICAS + OPERATORS}
 OUTSIDE = [f.__name__ for f in (*REPLICAS, *OPERATORS, apart_from_proxies, kill_proxy, freeze_proxy, roll)]
 KINDS |= {f.__name__: f for f in (apart_from_proxies, kill_proxy, freeze_proxy)}
 
 
-@routescenes.scenario
-def mayhem(p):
+@scenes.scenario
+def mayhem(play: plays.Play) -> None:
     """Faults at random, one on another, then peace."""
-    trouble(p)
-
-
-@routescenes.scenario
-def mayhem_outside(p):
-    """The same of all but keepers and what is between them, so that every bound in time is in force."""
-    trouble(p)
-
-
-def trouble(p):
-    w = p.w
-    for i, (kind, x, y, ms, pause) in enumerate(schedule(p.seed, p.name)):
-        if i not in p.skip:
-            w.log("fault", fault=kind, i=i)
-            KINDS[kind](w, x, y, ms)
-        w.run(pause)
-    w.run(6000)
-    w.heal()
-    for n in list(w.nodes):
-        w.freeze(n, False)
-    w.unlist(False)
-    w.lost_answers = 0.0
-    for r in w.replicas.values():
-        r.dark, r.ill = False, 0.0
-    for z in w.zones:
-        w.must(lambda z=z: w.readmit(z))
-    w.must(w.configure)
-    p.back(0.9)
-
-
-def shrink(name, seed, preset, rules):
+    make_faults(play)
+
+
+@scenes.scenario
+def mayhem_outside(play: plays.Play) -> None:
+    """The same of all but controllers and what is between them, so that every bound in time is in force."""
+    make_faults(play)
+
+
+def make_faults(play: plays.Play) -> None:
+    """The random schedule, then peace; afterwards requests are served."""
+    world = play.world
+    for index, (kind, first, second, ms, pause) in enumerate(schedule(play.seed, play.name)):
+        if index not in play.skip:
+            world.record(process_rows.Fault, kind, index)
+            KINDS[kind](world, first, second, ms)
+        world.run(pause)
+    world.run(PEACE_MS)
+    world.heal()
+    for name in list(world.nodes):
+        world.freeze(name, False)
+    world.unlist(False)
+    world.lost_answers = 0.0
+    for replica in world.replicas.values():
+        replica.dark, replica.failing = False, 0.0
+    for zone in world.zones:
+        world.must(functools.partial(world.readmit, zone))
+    world.must(world.configure)
+    play.back(0.9)
+
+
+def shrink(name: str, seed: int, preset: str, rules: set[str]) -> list[PlannedFault]:
     """The fewest faults (one by one left out) with which a run still breaks one of the rules."""
-    skip = set()
-    for i in range(FAULTS):
-        got = {f["rule"] for f in routescenes.Play(name, seed, preset, skip | {i}).play().findings()}
-        if got & rules:
-            skip.add(i)
-    return [row for i, row in enumerate(schedule(seed, name)) if i not in skip]
+    skip: set[int] = set()
+    for index in range(FAULTS):
+        run = scenes.Play(name, seed, preset, skip | {index}).play()
+        broken = {found.rule for found in run.findings()}
+        if broken & rules:
+            skip.add(index)
+    return [row for index, row in enumerate(schedule(seed, name)) if index not in skip]
--- a/basaltport/simulation/routes/nodes.py
+++ b/basaltport/simulation/routes/nodes.py
@@ -1,352 +1,331 @@
-"""Keepers and proxies on virtual time, links and disks: their own reducers in one process."""
+"""Controllers and proxies on virtual time, links and disks: their own reducers in one process."""
 
 import copy
-import heapq
 import random
 import typing
 
 import basaltport.consensus.quorum as quorum
+import basaltport.controller.role as role
 import basaltport.events as events
 import basaltport.frames as frames
-import basaltport.controller.role as role
 import basaltport.identifiers as identifiers
 import basaltport.member as member
-import basaltport.simulation.virtual_disk as simdisk
+import basaltport.simulation.processes as processes
+import basaltport.simulation.virtual_disk as virtual_disk
+import basaltport.simulation.virtual_time as virtual_time
+
+TICK_MS = 50
+HELD_MS = 1500
+RELEASE_CHECK_MS = 100
+STOPPED_WITHIN_MS = 5000
+BOOT_SPREAD_MS = 300
+DELAY_MAX_MS = 11
+SEEDS = 3
+ID_BITS = 32
+
+AgreedState = typing.Any
+"""What members agree to."""
+
+Answer = tuple[int, dict[str, typing.Any], identifiers.Millis]
+Note = tuple[identifiers.Millis, str, int, dict[str, typing.Any]]
 
-TICK = 50
-HELD = 1500
-LAST = 100
-STOPPED = 5000
 
+class Node(processes.Process):
+    """One process at one address.
 
-class Node:
-    """One process at one address. `member_name`: the name it bears among members, which a replacing machine
-    may share with its predecessor; `skew`: how far its steady clock is ahead of the world's."""
+    `member_name`: the name it bears among members, which a replacing machine may share with its predecessor;
+    `skew`: ms that its steady clock is ahead of the world's; `founders`: addresses that may found the
+    cluster, on a first start only; `book`: the agreed state that was checked last."""
 
-    def __init__(self, name: str, addr: str, disk: typing.Any) -> None:
-        self.name, self.addr, self.disk = name, addr, disk
+    def __init__(self, name: str, addr: str, disk: virtual_disk.VirtualDisk | None = None) -> None:
+        """It does not run yet."""
+        super().__init__(name, addr, disk)
         self.member_name, self.skew = name, 0
-        self.member: typing.Any = None
-        self.life, self.frozen = 0, False
-        self.held: list[typing.Any] = []
-        self.seat = ""
         self.founders: list[str] | None = None
-        self.book: typing.Any = None
+        self.book: AgreedState = None
 
 
-class Nodes:
-    """Whoever uses it gives `placement()`, `proxy_of(me, seed)` and what effects beside Send and Write do.
+class Nodes(processes.Processes[Node]):
+    """Controllers and proxies; who uses it gives `placement`, `proxy_of`, and effects beside Send and Write.
 
     Links keep their order and lose what is under way when the receiver restarts, as one connection does.
-    `reordering` gives each message its own delay; `doubling` is the chance that it comes twice; `delay_max`
-    the longest delay in ms; `across_lives` delivers to whoever lives at the address when it arrives."""
+    `reordering` gives each message a delay of its own; `doubling` is the chance that it comes twice;
+    `delay_max` the longest delay in ms; `across_lives` delivers to whoever lives at the address when it
+    arrives; `lossy` is the share of messages that are lost; with `holding` a cut holds back what would
+    arrive. `packed` sends each message as a frame's bytes."""
 
     def __init__(self, seed: int, keepers: int = 3, boot: bool = True, packed: bool = False) -> None:
-        self.rng = random.Random(seed)
-        self.now = identifiers.Millis(1_000_000)
-        self.heap: list[typing.Any] = []
-        self.k, self.packed = 0, packed
-        self.nodes: dict[str, Node] = {}
-        self.by_addr: dict[str, Node] = {}
-        self.last: dict[tuple[str, str], int] = {}
-        self.cuts: set[tuple[str, str]] = set()
-        self.held: list[typing.Any] = []
+        """So many controllers, which start at random within `BOOT_SPREAD_MS` if they are to `boot`."""
+        super().__init__(seed)
+        self.packed = packed
         self.lossy = 0.0
-        self.reordering, self.doubling, self.delay_max, self.across_lives = False, 0.0, 11, False
+        self.reordering, self.doubling, self.delay_max, self.across_lives = False, 0.0, DELAY_MAX_MS, False
         self.agreed: dict[int, typing.Any] = {}
         self.answers: dict[str, typing.Any] = {}
         self.n = 0
-        self.notes: list[typing.Any] = []
+        self.notes: list[Note] = []
         self.holding = True
         self.bytes = 0
         for i in range(keepers):
             self.add(f"k{i + 1}")
-        self.seeds = [n.addr for n in self.nodes.values()][:3]
-        for n in list(self.nodes) if boot else ():
-            self.later(self.rng.randrange(0, 300), self.boot, n, True)
-
-    # time
-
-    def later(self, ms: float, f: typing.Callable[..., object], *a: typing.Any) -> None:
-        self.k += 1
-        heapq.heappush(self.heap, (self.now + ms, self.k, f, a))
-
-    def run(self, ms: float) -> None:
-        self.until(bool, ms)
-
-    def until(self, test: typing.Callable[[], object], ms: float) -> float | None:
-        """Ms until the test held, or None."""
-        start, end = self.now, self.now + ms
-        while not test():
-            if self.heap[0][0] > end:
-                self.now = identifiers.Millis(end)
-                return None
-            t, _, f, a = heapq.heappop(self.heap)
-            self.now = identifiers.Millis(t)
-            f(*a)
-        return self.now - start
+        self.seeds = [node.addr for node in self.nodes.values()][:SEEDS]
+        for name in list(self.nodes) if boot else ():
+            self.later(self.rng.randrange(0, BOOT_SPREAD_MS), self.boot, name, True)
+
+    # what a world adds
+
+    def placement(self) -> object:
+        """What places models, for one controller."""
+        raise NotImplementedError
+
+    def proxy_of(self, me: member.Me, seed: int) -> processes.Reducer:
+        """The reducer of a proxy."""
+        raise NotImplementedError
 
     # nodes
 
     def add(self, name: str, disk: bool = True) -> Node:
-        n = Node(name, self.address(), None)
-        n.disk = simdisk.SimDisk(random.Random(self.rng.random())) if disk else None
-        self.nodes[name] = self.by_addr[n.addr] = n
-        return n
+        """A process at a new address; it does not run yet. Only controllers have a disk."""
+        node = Node(name, self.address())
+        node.disk = virtual_disk.VirtualDisk(random.Random(self.rng.random())) if disk else None
+        self.nodes[name] = self.by_addr[node.addr] = node
+        return node
 
     def address(self) -> str:
+        """An address that nobody had."""
         return f"10.0.0.{len(self.by_addr) + 1}:1"
 
     def zone_of(self, name: str) -> str:
+        """The zone of a process."""
         return f"z-{name}"
 
     def boot(self, name: str, first: bool = False) -> None:
-        n = self.nodes[name]
-        held, promised = None, identifiers.Term()
-        if n.disk:
-            held, promised = n.disk.load().ok_value
-            if not n.seat:
-                n.seat, n.founders = (
-                    f"{n.member_name}-{self.rng.getrandbits(32):08x}",
-                    list(self.seeds) if first else None,
-                )
-        args = (
+        """Starts a process; with `first` nothing can have been agreed before."""
+        node = self.nodes[name]
+        node.member = self.start_controller(node, first) if node.disk else self.start_proxy(node)
+        node.life, node.frozen, node.held, node.book = node.life + 1, False, [], None
+        self.started(node)
+        self.tick(node, node.life)
+
+    def start_controller(self, node: Node, first: bool) -> processes.Reducer:
+        """A controller's reducer, with what its disk holds."""
+        held, current_term = node.disk.load().ok_value
+        if not node.seat:
+            node.seat = f"{node.member_name}-{self.rng.getrandbits(ID_BITS):08x}"
+            node.founders = list(self.seeds) if first else None
+        me = self.identity(node)
+        seed = self.rng.getrandbits(ID_BITS)
+        controller: typing.Any = role.Keeper
+        return controller(me, seed, self.clock(node), held, current_term, self.placement())
+
+    def start_proxy(self, node: Node) -> processes.Reducer:
+        """A proxy's reducer."""
+        return self.proxy_of(self.identity(node), self.rng.getrandbits(ID_BITS))
+
+    def identity(self, node: Node) -> member.Me:
+        """Who a process is among the members; those with a disk are controllers."""
+        controls = node.disk is not None
+        return member.Me(
             "house",
-            n.member_name,
-            n.seat,
-            "ledger" if n.disk else "proxy",
-            self.zone_of(name),
-            n.addr,
+            identifiers.Name(node.member_name),
+            identifiers.MemberId(node.seat),
+            "ledger" if controls else "proxy",
+            identifiers.Zone(self.zone_of(node.name)),
+            node.addr,
             "",
             self.seeds,
             0,
+            voters="ledgers" if controls else "seats",
+            first_start=controls and node.founders is not None,
+            founders=(node.founders or []) if controls else None,
         )
-        if n.disk:
-            fs = n.founders
-            me = member.Me(*args, voters="ledgers", first_start=fs is not None, founders=fs or [])
-            seed = self.rng.getrandbits(32)
-            n.member = role.Keeper(me, seed, self.clock(n), held, promised, self.placement())
-        else:
-            n.member = self.proxy_of(member.Me(*args), self.rng.getrandbits(32))
-        n.life, n.frozen, n.held, n.book = n.life + 1, False, [], None
-        self.started(n)
-        self.tick(n, n.life)
 
-    def started(self, n: Node) -> None:
+    def started(self, node: Node) -> None:
         """A process was made and has done nothing yet."""
 
-    def clock(self, n: Node) -> identifiers.Millis:
+    def clock(self, node: Node) -> identifiers.Millis:
         """The steady clock of a process."""
-        return identifiers.Millis(self.now + n.skew)
+        return identifiers.Millis(self.now + node.skew)
 
-    def proxy(self, name: str) -> typing.Any:
+    def proxy(self, name: str) -> processes.Reducer:
+        """Starts a proxy and gives its reducer."""
         self.add(name, False)
         self.boot(name)
         return self.nodes[name].member
 
     def kill(self, name: str, power: bool = False, disk: bool = False) -> None:
-        n = self.nodes[name]
-        n.member, n.life = None, n.life + 1
-        if n.disk is None:
+        """The process ends; with `power` the bytes that are not synced go too, with `disk` the whole disk."""
+        node = self.nodes[name]
+        node.member, node.life = None, node.life + 1
+        if node.disk is None:
             return
         if disk:
-            n.disk, n.seat, n.founders = simdisk.SimDisk(random.Random(self.rng.random())), "", None
+            node.disk = virtual_disk.VirtualDisk(random.Random(self.rng.random()))
+            node.seat, node.founders = "", None
             return
         if power:
-            n.disk.power_loss()
+            node.disk.power_loss()
         else:
-            n.disk.syncing = n.disk.syncing or len(n.disk.queue)
-            n.disk.done()
-            n.disk.queue = []
+            node.disk.finish_all()
 
     def stop(self, name: str) -> None:
         """The end that SIGTERM brings: the process goes once its member is released."""
-        n = self.nodes[name]
-        self.ask_to_stop(n)
-        self.run(LAST)
-        self.until(lambda: n.member is None or n.member.released(), STOPPED)
+        node = self.nodes[name]
+        self.ask_to_stop(node)
+        self.run(RELEASE_CHECK_MS)
+        self.until(lambda: node.member is None or node.member.released(), STOPPED_WITHIN_MS)
         self.kill(name)
 
-    def ask_to_stop(self, n: Node) -> None:
-        self.step(n, events.Stop(self.clock(n)))
+    def ask_to_stop(self, node: Node) -> None:
+        """SIGTERM."""
+        self.step(node, events.Stop(self.clock(node)))
 
     def freeze(self, name: str, on: bool = True) -> None:
-        n = self.nodes[name]
-        n.frozen = on
+        """SIGSTOP, or SIGCONT: then what came meanwhile is delivered."""
+        node = self.nodes[name]
+        node.frozen = on
         if not on:
-            held, n.held = n.held, []
-            self.step(n, events.Tick(self.clock(n)))
-            for ev in held:
-                ev.now = self.clock(n)
-                self.step(n, ev)
-
-    def tick(self, n: Node, life: int) -> None:
-        if n.life != life:
-            return
-        if not n.frozen:
-            self.step(n, events.Tick(self.clock(n)))
-        self.later(TICK, self.tick, n, life)
+            held, node.held = node.held, []
+            self.step(node, events.Tick(self.clock(node)))
+            self.deliver_late(node, held)
 
-    def give(self, n: Node, life: int, ev: typing.Any) -> None:
-        if n.life != life or n.member is None:
+    def tick(self, node: Node, life: int) -> None:
+        """The timer of a process."""
+        if node.life != life:
             return
-        if n.frozen:
-            n.held.append(ev)
-            return
-        ev.now = self.clock(n)
-        self.step(n, ev)
+        if not node.frozen:
+            self.step(node, events.Tick(self.clock(node)))
+        self.later(TICK_MS, self.tick, node, life)
 
-    def step(self, n: Node, ev: typing.Any) -> None:
-        if n.member is None:
+    def step(self, node: Node, event: processes.Event) -> None:
+        """One step of a reducer, with its effects; then the state that it agreed to is checked."""
+        if node.member is None:
             return
-        was = n.member.book["serial"]
-        for e in n.member.step(ev):
-            getattr(self, "do_" + type(e).__name__.lower())(n, e)
-        if n.member is not None:
-            self.look(n, was)
-
-    def look(self, n: Node, was: int) -> None:
-        """One book for each serial, nothing taken back. A book that was seen here is not looked at again."""
-        b = n.member.book
-        if b is n.book:
+        was = node.member.book["serial"]
+        self.carry_out(node, node.member.step(event))
+        if node.member is not None:
+            self.look(node, was)
+
+    def look(self, node: Node, was: int) -> None:
+        """One state for each log index, nothing taken back. A state that was checked is not checked again."""
+        state = node.member.book
+        if state is node.book:
             return
-        n.book = b
-        key = (tuple(b["gen"]), str(b["manifest"]), sorted(b["drains"]), sorted(b["roster"]))
-        if b["serial"] < was or self.agreed.setdefault(b["serial"], key) != key:
-            self.differs(n, b)
+        node.book = state
+        key = (tuple(state["gen"]), str(state["manifest"]), sorted(state["drains"]), sorted(state["roster"]))
+        if state["serial"] < was or self.agreed.setdefault(state["serial"], key) != key:
+            self.differs(node, state)
 
-    def differs(self, n: Node, b: typing.Any) -> None:
-        raise AssertionError((n.name, b["serial"]))
+    def differs(self, node: Node, state: AgreedState) -> None:
+        """A process agreed to another state than others did, or to an older one than before."""
+        raise AssertionError((node.name, state["serial"]))
 
     def keepers(self) -> list[Node]:
-        return [n for n in self.nodes.values() if n.disk and n.member]
+        """Controllers that run."""
+        return [node for node in self.nodes.values() if node.disk and node.member]
 
     def up(self) -> list[Node]:
-        return [n for n in self.keepers() if not n.frozen]
+        """Controllers that run and are not frozen."""
+        return [node for node in self.keepers() if not node.frozen]
 
     def leader(self) -> str | None:
-        """The name of the one that holds, or None."""
-        ns = [(n.member.promised, n.name) for n in self.up() if n.member.holds_at(self.clock(n))]
-        return max(ns)[1] if ns else None
+        """The name of the one that holds the leader's lease, or None."""
+        holders = [
+            (node.member.promised, node.name) for node in self.up() if node.member.holds_at(self.clock(node))
+        ]
+        return max(holders)[1] if holders else None
 
     def roster(self) -> list[str]:
-        """Names of all that vote, while a member takes another's place both."""
-        return sorted(r["name"] for r in quorum.voters(self.nodes[self.leader()].member.book).values())
+        """Names of all that vote; while a member takes another's place, both."""
+        leader = self.leader()
+        assert leader is not None
+        return sorted(record["name"] for record in quorum.voters(self.nodes[leader].member.book).values())
 
     def settled(self, *names: str) -> bool:
-        """Whether there is a leader whose agreed roster is of these names, all of whose seats answer."""
-        k = self.leader()
-        m = k and self.nodes[k].member
-        seats = {n.seat for n in self.nodes.values()}
-        return bool(m) and self.roster() == sorted(names) and m.book["roster"].keys() <= seats
-
-    # wires
+        """Whether there is a leader whose agreed members are of these names, all of which run here."""
+        leader = self.leader()
+        if leader is None:
+            return False
+        member_ids = {node.seat for node in self.nodes.values()}
+        agreed = self.nodes[leader].member.book["roster"]
+        return self.roster() == sorted(names) and agreed.keys() <= member_ids
 
-    def cut(self, a: str, b: str, both: bool = True) -> None:
-        self.cuts |= {(a, b), (b, a)} if both else {(a, b)}
+    # links
 
     def part(self, left: typing.Collection[str]) -> None:
-        for a in left:
-            for b in self.nodes:
-                if b not in left:
-                    self.cut(a, b)
+        """Cuts these processes off from all others."""
+        for name in left:
+            for other in self.nodes:
+                if other not in left:
+                    self.cut(name, other)
 
     def heal(self) -> None:
+        """All links are whole, and what was held back comes."""
         self.cuts = set()
-        held, self.held = self.held, []
-        for at, f, a in held:
-            if self.now - at < HELD:
-                self.later(1, f, *a)
+        self.release_held(HELD_MS)
 
-    def keep(self, f: typing.Callable[..., object], *a: typing.Any) -> None:
-        """What a cut holds up comes once it heals, if that is soon; without `holding` it is lost."""
+    def keep(self, deliver: virtual_time.Callback, *args: object) -> None:
+        """What a cut holds back comes once it heals, if that is soon; without `holding` it is lost."""
         if self.holding:
-            self.held.append((self.now, f, a))
+            self.held.append((self.now, deliver, args))
 
-    def do_send(self, n: Node, e: typing.Any) -> None:
-        to = self.by_addr.get(e.addr)
-        if to is None:
+    def do_send(self, node: Node, effect: events.Send) -> None:
+        """Sends a message to whoever is at the address."""
+        receiver = self.by_addr.get(effect.addr)
+        if receiver is None:
             return
-        msg = e.msg
+        message = effect.msg
         if self.packed:
-            raw = frames.pack(msg)
+            raw = frames.pack(message)
             self.bytes += len(raw)
-            msg = frames.unpack(raw).ok_value
-        if (n.name, to.name) in self.cuts:
-            self.keep(self.arrive, n, to, to.life, msg)
+            message = frames.unpack(raw).unwrap()
+        if (node.name, receiver.name) in self.cuts:
+            self.keep(self.arrive, node, receiver, receiver.life, message)
             return
         if self.rng.random() < self.lossy:
             return
         twice = self.doubling and self.rng.random() < self.doubling
-        for m in (msg, copy.copy(msg)) if twice else (msg,):
-            self.later(self.delay(n, to), self.arrive, n, to, to.life, m)
+        for sent in (message, copy.copy(message)) if twice else (message,):
+            self.later(self.delay(node, receiver), self.arrive, node, receiver, receiver.life, sent)
 
-    def delay(self, n: Node, to: Node) -> int:
+    def delay(self, node: Node, receiver: Node) -> float:
         """Ms that a message is under way."""
-        ms = self.rng.randrange(1, self.delay_max + 1)
+        delay = self.rng.randrange(1, self.delay_max + 1)
         if self.reordering:
-            return ms
-        k = (n.name, to.name)
-        at = self.last[k] = max(self.last.get(k, 0), self.now + ms)
-        return at - self.now
+            return delay
+        return self.in_order((node.name, receiver.name), self.now + delay) - self.now
 
-    def arrive(self, n: Node, to: Node, life: int, msg: typing.Any) -> None:
+    def arrive(self, node: Node, receiver: Node, life: int, message: object) -> None:
+        """A message reaches the receiver, if the process that it was sent to still runs."""
         if self.across_lives:
-            life = to.life
-        if (n.name, to.name) in self.cuts:
-            self.keep(self.arrive, n, to, life, msg)
-            return
-        self.give(to, life, events.Heard(self.now, "", msg))
-
-    # disks, notes
-
-    def do_write(self, n: Node, e: typing.Any) -> None:
-        whole = None
-        if e.whole is not None:
-            whole = {"promised": list(n.member.promised), **e.whole, "tail": list(e.whole["tail"])}
-        n.disk.write(e.token, e.records, whole)
-        self.sync_next(n)
-
-    def sync_next(self, n: Node) -> None:
-        d = n.disk
-        if d.queue and not d.syncing and not d.stalled:
-            d.begin()
-            self.later(d.lapse(self.now) - self.now, self.synced, n, n.life, d)
-
-    def synced(self, n: Node, life: int, disk: typing.Any) -> None:
-        if n.life != life or n.disk is not disk:
-            return
-        if disk.stalled:
-            disk.syncing = 0
+            life = receiver.life
+        if (node.name, receiver.name) in self.cuts:
+            self.keep(self.arrive, node, receiver, life, message)
             return
-        for token, ok in disk.done():
-            self.give(n, life, events.Synced(self.now, token, ok))
-        self.sync_next(n)
-
-    def stall(self, name: str, on: bool = True) -> None:
-        n = self.nodes[name]
-        n.disk.stalled = on
-        if not on:
-            self.sync_next(n)
+        self.give(receiver, life, events.Heard(self.now, "", message))
 
-    def do_note(self, n: Node, e: typing.Any) -> None:
-        self.notes.append((self.now, n.name, e.number, e.fields))
+    def do_note(self, node: Node, effect: events.Note) -> None:
+        """Keeps an event that the member logs."""
+        self.notes.append((self.now, node.name, effect.number, effect.fields))
 
     # operators
 
     def ask(self, name: str, verb: str, **body: object) -> str:
+        """An operator's request at a process; its answer will stand in `answers` under the call's id."""
         self.n += 1
-        c = f"c{self.n}"
-        self.answers[c] = None
-        n = self.nodes[name]
-        self.give(n, n.life, events.Asked(self.now, c, verb, body))
-        return c
-
-    def do_answer(self, n: Node, e: typing.Any) -> None:
-        self.answers[e.call] = (e.status, e.body, self.now)
-
-    def asked(self, name: str, verb: str, ms: float = 4000, **body: object) -> typing.Any:
-        """Status and body of an answer, which comes within `ms`."""
-        c = self.ask(name, verb, **body)
-        assert self.until(lambda: self.answers[c], ms) is not None, (name, verb)
-        return self.answers[c][:2]
+        call = f"c{self.n}"
+        self.answers[call] = None
+        node = self.nodes[name]
+        self.give(node, node.life, events.Asked(self.now, call, verb, body))
+        return call
+
+    def do_answer(self, node: Node, effect: events.Answer) -> None:
+        """Keeps the answer to an operator's request."""
+        self.answers[effect.call] = (effect.status, effect.body, self.now)
+
+    def asked(self, name: str, verb: str, ms: float = 4000, **body: object) -> tuple[int, typing.Any]:
+        """Status and body of an answer, which must come within `ms`."""
+        call = self.ask(name, verb, **body)
+        assert self.until(lambda: self.answers[call], ms) is not None, (name, verb)
+        status, response, _ = self.answers[call]
+        return status, response
--- a/basaltport/simulation/routes/operator.py
+++ b/basaltport/simulation/routes/operator.py
@@ -1,126 +1,163 @@
-"""The operator: changes sent to any keeper until there is a clear answer, and what was answered."""
+"""The operator: changes sent to any controller until there is a clear answer, and what was answered."""
+
+import typing
 
 import basaltport.events as events
+import basaltport.simulation.routes.fleet_base as fleet_base
+import basaltport.simulation.routes.nodes as nodes
+import basaltport.simulation.routes.operator_rows as operator_rows
 
 LINK_MS = 12
-SILENT = 1000
-AGAIN = 150
-CLEAR = (200, 400, 409, 412)
+NO_ANSWER_MS = 1000
+RETRY_MS = 150
+RETRY_MAX_MS = 1000
+CHANGE_MS = 60_000
+ZONE_CHANGE_MS = 4000
+READ_BACK_MS = 15_000
+READ_PAUSE_MS = 100
+ACKNOWLEDGED = 200
+CLEAR_STATUSES = (200, 400, 409, 412)
+GAVE_UP = 0
+
+Then = typing.Callable[[int], object]
 
 
 class Change:
-    def __init__(self, id, verb, body, until):
-        self.id, self.verb, self.body, self.until = id, verb, body, until
-        self.status, self.asks, self.then, self.asked = None, 0, None, ""
+    """A change that an operator sends until it is answered.
+
+    `until`: when the operator gives up; `status`: the clear answer, GAVE_UP, or None as long as neither is
+    there; `requested_at`: the controller that it was sent to last; `then`: called with the clear answer."""
+
+    def __init__(
+        self, change_id: str, verb: str, body: dict[str, typing.Any], until: int, then: Then | None
+    ) -> None:
+        """It was not sent yet."""
+        self.id, self.verb, self.body, self.until, self.then = change_id, verb, body, until, then
+        self.status: int | None = None
+        self.requested_at = ""
 
 
-class OperatorMixin:
-    """The world's operators. `acked`: what stands acknowledged."""
+class OperatorMixin(fleet_base.FleetBase):
+    """The world's operators. `edition`: the newest that is acknowledged; `last_edition`: the newest sent."""
 
-    def operator_start(self):
-        self.changes, self.change_of = {}, {}
+    def operator_start(self) -> None:
+        """Nothing was changed yet."""
+        self.changes = {}
+        self.change_of: dict[str, Change] = {}
         self.edition, self.last_edition = 0, 0
 
-    def ask(self, name, verb, **body):
+    def ask(self, name: str, verb: str, **body: object) -> str:
         """A call's id. It arrives later, so that whoever asked knows the id before the answer comes."""
         self.n += 1
         call = f"c{self.n}"
         self.answers[call] = None
         node = self.nodes[name]
-        asked = events.Asked(self.now, call, verb, body)
-        self.later(self.rng.randrange(1, LINK_MS), self.give, node, node.life, asked)
+        event = events.Asked(self.now, call, verb, body)
+        self.later(self.rng.randrange(1, LINK_MS), self.give, node, node.life, event)
         return call
 
-    def order_change(self, verb, then=None, ms=60_000, **body):
+    def order_change(
+        self, verb: str, then: Then | None = None, ms: int = CHANGE_MS, **body: object
+    ) -> Change:
         """Sends a change; `then(status)` once there is a clear answer."""
-        c = Change(f"c{len(self.changes) + 1}", verb, body, self.now + ms)
-        c.then = then
-        self.changes[c.id] = c
-        self.log(
-            "change",
-            change=c.id,
-            verb=verb,
-            zone=body.get("zone"),
-            base=body.get("base"),
-            edition=self.last_edition,
-        )
-        self.send_change(c)
-        return c
-
-    def send_change(self, c, pause=AGAIN):
-        if c.status is not None:
+        change = Change(f"c{len(self.changes) + 1}", verb, body, self.now + ms, then)
+        self.changes[change.id] = change
+        zone, base = change.body.get("zone"), change.body.get("base")
+        self.record(operator_rows.Change, change.id, verb, zone, base, self.last_edition)
+        self.send_change(change)
+        return change
+
+    def send_change(self, change: Change, pause: int = RETRY_MS) -> None:
+        """Sends a change to another controller than before, with a longer pause each time."""
+        if change.status is not None:
             return
-        if self.now > c.until:
-            c.status = 0
-            self.log("unclear", change=c.id)
+        if self.now > change.until:
+            change.status = GAVE_UP
+            self.record(operator_rows.Unclear, change.id)
             return
-        up = [n for n in self.core_nodes() if n.member]
+        longer = min(RETRY_MAX_MS, pause * 2)
+        up = [node.name for node in self.core_nodes() if node.member]
         if not up:
-            self.later(pause, self.send_change, c, min(1000, pause * 2))
+            self.later(pause, self.send_change, change, longer)
             return
-        c.asked = self.rng.choice([n.name for n in up if n.name != c.asked] or [c.asked])
-        call = self.ask(c.asked, c.verb, change=c.id, **c.body)
-        self.change_of[call] = c
-        c.asks += 1
-        self.later(SILENT, self.silent, c, call, pause)
-
-    def silent(self, c, call, pause):
+        others = [name for name in up if name != change.requested_at]
+        change.requested_at = self.rng.choice(others or [change.requested_at])
+        call = self.ask(change.requested_at, change.verb, change=change.id, **change.body)
+        self.change_of[call] = change
+        self.later(NO_ANSWER_MS, self.time_out_change, change, call, longer)
+
+    def time_out_change(self, change: Change, call: str, pause: int) -> None:
+        """No answer came in time."""
         if self.answers[call] is None:
             self.change_of.pop(call, None)
-            self.send_change(c, min(1000, pause * 2))
+            self.send_change(change, pause)
 
-    def do_answer(self, n, e):
-        super().do_answer(n, e)
-        c = self.change_of.pop(e.call, None)
-        if c is None or c.status is not None:
+    def do_answer(self, node: nodes.Node, effect: events.Answer) -> None:
+        """An answer; an unclear one to a change makes the operator send it again."""
+        super().do_answer(node, effect)
+        change = self.change_of.pop(effect.call, None)
+        if change is None or change.status is not None:
             return
-        if e.status not in CLEAR:
-            self.later(AGAIN, self.send_change, c)
+        if effect.status not in CLEAR_STATUSES:
+            self.later(RETRY_MS, self.send_change, change)
             return
-        c.status = e.status
-        self.log("answer", change=c.id, verb=c.verb, status=e.status, zone=c.body.get("zone"))
-        if c.verb == "configure" and e.status == 200:
-            self.edition = max(self.edition, c.body["document"]["edition"])
-        if c.then:
-            c.then(e.status)
+        change.status = effect.status
+        zone = change.body.get("zone")
+        self.record(operator_rows.ChangeAnswered, change.id, change.verb, effect.status, zone)
+        if change.verb == "configure" and effect.status == ACKNOWLEDGED:
+            self.edition = max(self.edition, change.body["document"]["edition"])
+        if change.then:
+            change.then(effect.status)
 
     # changes
 
-    def configure(self, base=None, then=None):
+    def configure(self, base: int | None = None, then: Then | None = None) -> Change:
         """A whole configuration of the next edition, on top of the last known one."""
         self.last_edition = max(self.last_edition, self.edition) + self.rng.randrange(1, 4)
-        doc = self.document(self.last_edition, f"c{len(self.changes) + 1}")
-        return self.order_change("configure", then, base=self.edition if base is None else base, document=doc)
+        document = self.document(self.last_edition, f"c{len(self.changes) + 1}")
+        base = self.edition if base is None else base
+        return self.order_change("configure", then, base=base, document=document)
 
-    def race(self):
+    def race(self) -> list[Change]:
         """Two operators build on the same edition."""
         base = self.edition
         return [self.configure(base), self.configure(base)]
 
-    def evacuate(self, zone, then=None):
-        return self.order_change("evacuate", then, 4000, zone=zone)
+    def evacuate(self, zone: str, then: Then | None = None) -> Change:
+        """No request is to be sent to this zone any more."""
+        return self.order_change("evacuate", then, ZONE_CHANGE_MS, zone=zone)
 
-    def readmit(self, zone, then=None):
-        return self.order_change("readmit", then, 4000, zone=zone)
+    def readmit(self, zone: str, then: Then | None = None) -> Change:
+        """Requests may be sent to this zone again."""
+        return self.order_change("readmit", then, ZONE_CHANGE_MS, zone=zone)
 
-    def must(self, send, ms=20_000):
+    def must(self, send: typing.Callable[[], Change], ms: int = 20_000) -> Change:
         """Runs until a change is acknowledged."""
-        c = send()
-        if self.until(lambda: c.status is not None, ms) is None or c.status != 200:
-            self.log("not-acked", change=c.id, verb=c.verb, status=c.status or 0)
-        return c
-
-    def read_back(self, ms=15_000):
-        """The configuration as a keeper reads it back, or None."""
+        change = send()
+        answered = self.until(lambda: change.status is not None, ms) is not None
+        if not answered or change.status != ACKNOWLEDGED:
+            self.record(operator_rows.NotAcked, change.id, change.verb, change.status or GAVE_UP)
+        return change
+
+    def until_answered(self, changes: list[Change], ms: int) -> None:
+        """Runs until each of these has its clear answer or is given up, or `ms` have gone by."""
+        self.until(lambda: all(change.status is not None for change in changes), ms)
+
+    def read_back(self, ms: int = READ_BACK_MS) -> dict[str, typing.Any] | None:
+        """The configuration as a controller reads it back, or None."""
         end = self.now + ms
         while self.now < end:
-            up = [n.name for n in self.core_nodes() if n.member and not n.frozen]
-            c = up and self.ask(self.rng.choice(up), "configuration")
-            if (
-                c
-                and self.until(lambda c=c: self.answers[c], SILENT) is not None
-                and self.answers[c][0] == 200
-            ):
-                return self.answers[c][1]["document"]
-            self.run(100)
+            up = [node.name for node in self.core_nodes() if node.member and not node.frozen]
+            answer = self.request_and_wait(self.rng.choice(up), "configuration") if up else None
+            if answer and answer[0] == ACKNOWLEDGED:
+                document: dict[str, typing.Any] | None = answer[1]["document"]
+                return document
+            self.run(READ_PAUSE_MS)
         return None
+
+    def request_and_wait(self, name: str, verb: str) -> nodes.Answer | None:
+        """The answer of a controller, or None where none comes in time."""
+        call = self.ask(name, verb)
+        self.until(lambda: self.answers[call], NO_ANSWER_MS)
+        answer: nodes.Answer | None = self.answers[call]
+        return answer
--- a/basaltport/simulation/routes/replicas.py
+++ b/basaltport/simulation/routes/replicas.py
@@ -1,16 +1,41 @@
-"""Replicas behind relays: they hold models, run requests in slots, leave, crash, go dark, come back."""
+"""Replicas behind proxies: they hold models, run requests in slots, leave, crash, go dark, come back."""
 
 import collections
-import random
+import enum
+import typing
 import zlib
 
-import basaltport.controller.events as keeper_events
-import basaltport.simulation.routes.engine as routeengine
+import basaltport.controller.events as controller_events
+import basaltport.placement.effects as effects
+import basaltport.simulation.routes.attempts as attempts
+import basaltport.simulation.routes.engine as engine
+import basaltport.simulation.routes.fleet_base as fleet_base
+import basaltport.simulation.routes.nodes as nodes
+import basaltport.simulation.routes.replica_rows as replica_rows
 
 QUEUE = 8
-CALL = 1000
-LISTED = 4000
-SNAP = 50
+SLOTS = 16
+CALL_TIMEOUT_MS = 1000
+LISTED_AFTER_CRASH_MS = 4000
+SNAPSHOT_MS = 50
+SNAPSHOTS_KEPT_MS = 1000
+REPORT_AGE_MS = 250
+REPORT_MS = 3
+SUCCESSOR_MS = 2000
+COLD_MS = 3000
+CHILL_MS = 4000
+READ_LIST_MS = 1000
+DRAIN_SLACK_MS = 1000
+SPEED = (0.8, 1.3)
+
+
+class Silence(enum.Enum):
+    """What comes of a call in place of a replica."""
+
+    TIMED_OUT = "timed out"
+
+
+events: typing.Any = controller_events
 
 
 class Id(str):
@@ -18,32 +43,54 @@
 
     __slots__ = ()
 
-    def __hash__(self):
+    def __hash__(self) -> int:
+        """A checksum of its bytes."""
         return zlib.crc32(self.encode())
 
 
-class Replica(routeengine.Engine):
-    def __init__(self, w, rid, service, address, zone, slots, held=(), cold_ms=0):
-        super().__init__(w, Id(rid), zone, held)
+class Replica(engine.Engine):
+    """A replica of a service at an address.
+
+    `cold_until`: until when it is slow; `running`: the attempts that it runs, `queue`: those that wait;
+    `speed`: a factor on its durations; `failing`, `refusing`: shares of requests that fail or are refused."""
+
+    def __init__(
+        self,
+        fleet: fleet_base.FleetBase,
+        replica_id: str,
+        service: str,
+        address: str,
+        zone: str,
+        slots: int,
+        held: typing.Collection[str] = (),
+        cold_ms: int = 0,
+    ) -> None:
+        """It takes requests at once."""
+        super().__init__(fleet, Id(replica_id), zone, held)
+        self.world = fleet
         self.service, self.address, self.slots = service, address, slots
-        self.cold_until = w.now + cold_ms
-        self.works, self.queue = {}, collections.deque()
-        self.speed, self.ill, self.full = w.rng.uniform(0.8, 1.3), 0.0, 0.0
-
-    def over(self, e):
-        self.fleet.log("over-room", replica=self.id, model=e.model)
+        self.cold_until = fleet.now + cold_ms
+        self.running: dict[int, attempts.SentAttempt] = {}
+        self.queue: collections.deque[attempts.SentAttempt] = collections.deque()
+        self.speed = fleet.rng.uniform(*SPEED)
+        self.failing, self.refusing = 0.0, 0.0
+
+    def over_room(self, order: effects.Order) -> str:
+        """Orders beyond its room are a finding of the checks."""
+        self.world.record(replica_rows.OverRoom, self.id, order.model)
         return "accepted"
 
-    def order(self, e):
-        """A restart forgets fences; holders are told in the trace as they arrive."""
-        was = len(self.fleet.store)
-        got = super().order(e)
-        if len(self.fleet.store) > was:
-            self.fleet.log("load", replica=self.id, model=e.model)
-        return got
-
-    def row(self):
-        w = self.fleet
+    def order(self, order: effects.Order) -> str:
+        """Takes an order; what it loads from the store is told in the trace."""
+        loads = len(self.fleet.store)
+        outcome = super().order(order)
+        if len(self.fleet.store) > loads:
+            self.world.record(replica_rows.Load, self.id, order.model)
+        return outcome
+
+    def row(self) -> fleet_base.ListedRow:
+        """As the platform lists it."""
+        now = self.world.now
         return {
             "id": self.id,
             "service": self.service,
@@ -51,194 +98,248 @@
             "zone": self.zone,
             "slots": self.slots,
             "state": self.state,
-            "leaves_in_ms": None if self.leaves is None else max(0, self.leaves - w.now),
-            "cold_ms": max(0, self.cold_until - w.now),
-            "models": {m: sorted(a) for m, a in self.models.items()},
+            "leaves_in_ms": None if self.leaves is None else max(0, self.leaves - now),
+            "cold_ms": max(0, self.cold_until - now),
+            "models": {model: sorted(adapters) for model, adapters in self.models.items()},
             "busy": self.job is not None,
             "taken": self.taken,
         }
 
-    def verdict(self, go):
+    def verdict(self, attempt: attempts.SentAttempt) -> str:
         """What it says before a request begins: run, wait, refused, absent or moved."""
-        if go.e.replica != self.id:
+        if attempt.effect.replica != self.id:
             return "moved"
-        self.settle()
-        if self.full and self.fleet.rng.random() < self.full:
+        self.finish_job()
+        if self.refusing and self.world.rng.random() < self.refusing:
             return "refused"
-        m, _, a = go.item.partition("/")
-        if m and self.job and self.job[1] == m and (not self.job[2] or self.job[2] == a):
+        model, _, adapter = attempt.item.partition("/")
+        job = self.job
+        if model and job and job.model == model and (not job.adapter or job.adapter == adapter):
             return "refused"
-        if m and (m not in self.models or a and a not in self.models[m]):
+        if model and not self.holds(model, adapter):
             return "absent"
-        if len(self.works) < self.slots:
+        if len(self.running) < self.slots:
             return "run"
         return "wait" if len(self.queue) < QUEUE else "refused"
 
 
-class ReplicaMixin:
-    """The world's replicas, what is listed of them, and the orders of keepers to them."""
+Reached = typing.Callable[[Replica | Silence | None], object]
 
-    def back_start(self):
-        self.replicas, self.at_place, self.listing, self.fallen = {}, {}, [], {}
+
+class Snapshot(typing.NamedTuple):
+    """The platform's list at a time."""
+
+    time: int
+    rows: list[fleet_base.ListedRow]
+
+
+class ReplicaMixin(fleet_base.FleetBase):
+    """The world's replicas, what is listed of them, and the orders of controllers to them."""
+
+    def replicas_start(self) -> None:
+        """There are no replicas yet."""
+        self.replicas, self.at_place = {}, {}
+        self.listing: list[Snapshot] = []
+        self.crashed: dict[str, tuple[fleet_base.ListedRow, int]] = {}
         self.loads, self.store, self.under = collections.Counter(), [], []
-        self.last_id, self.places_n = 0, 0
-        self.later(0, self.snap)
-
-    def place(self):
-        self.places_n += 1
-        return f"10.1.0.{self.places_n}:1"
-
-    def start_replica(self, service, zone, held=(), cold_ms=0, address=None, slots=16, disk=()):
-        self.last_id += 1
-        r = Replica(
-            self, f"i-{self.last_id}", service, address or self.place(), zone, slots, held, cold_ms=cold_ms
-        )
-        r.disk |= set(disk)
-        self.replicas[r.id] = self.at_place[r.address] = r
-        self.log("replica", replica=r.id, service=service, zone=zone)
+        self.last_replica, self.last_place = 0, 0
+        self.later(0, self.snapshot)
+
+    def place(self) -> str:
+        """An address that no replica had."""
+        self.last_place += 1
+        return f"10.1.0.{self.last_place}:1"
+
+    def start_replica(
+        self,
+        service: str,
+        zone: str,
+        held: typing.Collection[str] = (),
+        cold_ms: int = 0,
+        address: str | None = None,
+        slots: int = SLOTS,
+        disk: typing.Collection[str] = (),
+    ) -> Replica:
+        """A replica starts, by default at an address of its own; `disk`: weights that lie there already."""
+        self.last_replica += 1
+        replica_id, place = f"i-{self.last_replica}", address or self.place()
+        replica = Replica(self, replica_id, service, place, zone, slots, held, cold_ms=cold_ms)
+        replica.disk |= set(disk)
+        self.replicas[replica.id] = self.at_place[replica.address] = replica
+        self.record(replica_rows.ReplicaStarted, replica.id, service, zone)
         if cold_ms:
-            self.log("cold", replica=r.id, since=self.t(), until=self.t(r.cold_until))
-        return r
+            cold_until = self.elapsed(replica.cold_until)
+            self.record(replica_rows.Cold, replica.id, self.elapsed(), cold_until)
+        return replica
 
     # faults
 
-    def end_replica(self, rid, back_ms=None, service=None, listed=0):
-        """It is gone, with what it runs; `back_ms` later a cold one comes at its address."""
-        r = self.replicas.pop(rid, None)
-        if r is None:
+    def end_replica(
+        self, replica_id: str, back_ms: int | None = None, service: str | None = None, listed_ms: int = 0
+    ) -> None:
+        """It is gone, with what it runs; `back_ms` later a successor comes, a cold one of the same service at
+        a new address, or one of another `service` at its own. The list shows it for `listed_ms` more."""
+        replica = self.replicas.pop(replica_id, None)
+        if replica is None:
             return
-        self.log("replica-gone", replica=rid)
-        if self.at_place.get(r.address) is r:
-            del self.at_place[r.address]
-        if listed:
-            self.fallen[rid] = (r.row(), self.now + listed)
-        for go in [*r.works.values(), *r.queue]:
-            self.lose(go, "crashed")
-        r.works, r.queue, r.job = {}, collections.deque(), None
+        self.record(replica_rows.ReplicaGone, replica_id)
+        if self.at_place.get(replica.address) is replica:
+            del self.at_place[replica.address]
+        if listed_ms:
+            self.crashed[replica_id] = (replica.row(), self.now + listed_ms)
+        for attempt in [*replica.running.values(), *replica.queue]:
+            self.lose(attempt, "crashed")
+        replica.running, replica.queue, replica.job = {}, collections.deque(), None
         if back_ms is not None:
-            cold, disk = (3000, r.disk) if service is None else (0, ())
-            self.later(
-                back_ms,
-                self.start_replica,
-                service or r.service,
-                r.zone,
-                (),
-                cold,
-                r.address if service else None,
-                r.slots,
-                disk,
-            )
-
-    def crash_replica(self, rid, back_ms=1000):
-        self.end_replica(rid, back_ms, None, LISTED)
-
-    def release(self, rid, notice_ms=None, service=None):
-        """It leaves in order after `drain_ms`, or within the notice; its successor comes cold."""
-        r = self.replicas.get(rid)
-        if r is None or r.state != "ready":
-            return
-        last = self.timings["drain_ms"] + 1000 if notice_ms is None else notice_ms
-        r.state, r.leaves = "draining", None if notice_ms is None else self.now + notice_ms
-        self.log("leaving", replica=rid, shown=self.t() + self.lag + 2 * SNAP)
-        self.later(last, self.end_replica, rid, 2000, service)
+            self.later(back_ms, self.start_successor, replica, service)
 
-    def chill(self, rid, ms=4000):
-        """It becomes cold; whoever sends knows it once the list shows it and was read."""
-        r = self.replicas[rid]
-        r.cold_until = self.now + ms
-        since = self.t() + self.lag + 2 * SNAP + 1000
-        self.log("cold", replica=rid, since=since, until=self.t(r.cold_until))
-
-    def dark(self, rid, on=True):
-        r = self.replicas.get(rid)
-        if r:
-            r.dark = on
-            self.log("dark", replica=rid, on=on)
+    def start_successor(self, replica: Replica, service: str | None) -> None:
+        """What comes after a replica that is gone."""
+        slots = replica.slots
+        if service is None:
+            self.start_replica(replica.service, replica.zone, (), COLD_MS, None, slots, replica.disk)
+        else:
+            self.start_replica(service, replica.zone, (), 0, replica.address, slots)
 
-    # the list, orders and reports
+    def crash_replica(self, replica_id: str, back_ms: int | None = 1000) -> None:
+        """It ends without a word, and the list shows it for a while more."""
+        self.end_replica(replica_id, back_ms, None, LISTED_AFTER_CRASH_MS)
 
-    def snap(self):
-        for rid, (_, until) in list(self.fallen.items()):
+    def release(self, replica_id: str, notice_ms: int | None = None, service: str | None = None) -> None:
+        """It leaves in order after `drain_ms`, or within the notice; its successor comes cold."""
+        replica = self.replicas.get(replica_id)
+        if replica is None or replica.state != "ready":
+            return
+        planned = notice_ms is None
+        replica.state = "draining"
+        replica.leaves = None if notice_ms is None else self.now + notice_ms
+        shown = self.elapsed() + self.lag + 2 * SNAPSHOT_MS
+        self.record(replica_rows.Leaving, replica_id, shown)
+        last = self.timings.drain_ms + DRAIN_SLACK_MS if planned else notice_ms
+        self.later(last or 0, self.end_replica, replica_id, SUCCESSOR_MS, service)
+
+    def chill(self, replica_id: str, ms: int = CHILL_MS) -> None:
+        """It becomes cold; whoever sends knows it once the list shows it and was read."""
+        replica = self.replicas[replica_id]
+        replica.cold_until = self.now + ms
+        since = self.elapsed() + self.lag + 2 * SNAPSHOT_MS + READ_LIST_MS
+        self.record(replica_rows.Cold, replica_id, since, self.elapsed(replica.cold_until))
+
+    def dark(self, replica_id: str, on: bool = True) -> None:
+        """Nobody can reach it, or they can again."""
+        replica = self.replicas.get(replica_id)
+        if replica:
+            replica.dark = on
+            self.record(replica_rows.Dark, replica_id, on)
+
+    # the list
+
+    def snapshot(self) -> None:
+        """The platform's list as it is now."""
+        for replica_id, (_, until) in list(self.crashed.items()):
             if self.now > until:
-                del self.fallen[rid]
+                del self.crashed[replica_id]
         rows = []
-        for r in self.replicas.values():
-            r.settle()
-            rows.append(r.row())
-        rows += [row for row, _ in self.fallen.values()]
-        old = self.now - self.lag - 1000
-        self.listing = [x for x in self.listing if x[0] > old] + [(self.now, rows)]
-        self.later(SNAP, self.snap)
-
-    def seen(self, ago):
-        return next((x[1] for x in reversed(self.listing) if x[0] <= self.now - ago), [])
-
-    def do_list(self, n, e):
-        rows = [dict(r) for r in self.seen(self.lag)]
+        for replica in self.replicas.values():
+            replica.finish_job()
+            rows.append(replica.row())
+        rows += [row for row, _ in self.crashed.values()]
+        oldest = self.now - self.lag - SNAPSHOTS_KEPT_MS
+        self.listing = [snapshot for snapshot in self.listing if snapshot.time > oldest]
+        self.listing.append(Snapshot(self.now, rows))
+        self.later(SNAPSHOT_MS, self.snapshot)
+
+    def listed_before(self, ms: int) -> list[fleet_base.ListedRow]:
+        """The list as it was so long ago."""
+        time = self.now - ms
+        return next((shot.rows for shot in reversed(self.listing) if shot.time <= time), [])
+
+    def do_list(self, node: nodes.Node, effect: effects.List) -> None:
+        """A controller reads the list, which is `lag` ms old."""
+        rows = [dict(row) for row in self.listed_before(self.lag)]
         ok = not self.list_down
-        ev = keeper_events.Listed(self.now, ok, rows if ok else [])
-        self.later(self.rng.randrange(3, 25), self.give, n, n.life, ev)
+        event = events.Listed(self.now, ok, rows if ok else [])
+        self.later(self.rng.randrange(3, 25), self.give, node, node.life, event)
+
+    # orders and reports
 
-    def do_order(self, n, e):
+    def do_order(self, node: nodes.Node, effect: effects.Order) -> None:
         """Not sent where another may lead by now, as in the shell."""
-        n.member.now = max(n.member.now, self.now)
-        if not n.member.owns(e.replica, e.fence):
-            self.told(n, n.life, e, "failed", self.now)
+        node.member.now = max(node.member.now, self.now)
+        if not node.member.owns(effect.replica, effect.fence):
+            self.order_ended(node, node.life, effect, "failed", self.now)
             return
-        at, life = self.now, n.life
-        self.reach(n, e.address, lambda r: self.ordered(n, life, e, r, at))
-
-    def reach(self, n, address, f, lost=None):
-        """Calls f(replica) after a link's delay; None where nobody answers (at once or by silence)."""
-        ms = self.rng.randrange(1, 8)
-        r = self.at_place.get(address)
-        if r is not None and (n.name, r.id) in self.cuts:
-            self.keep(self.later, 1, f, r)
-            self.later(CALL, f, "silent")
+        sent_at, life = self.now, node.life
+        self.reach(node, effect.address, lambda replica: self.ordered(node, life, effect, replica, sent_at))
+
+    def reach(self, node: nodes.Node, address: str, reached: Reached) -> None:
+        """Calls `reached` with the replica there after a link's delay; with None where there is none, and
+        with TIMED_OUT where a cut is between."""
+        delay = self.rng.randrange(1, 8)
+        replica = self.at_place.get(address)
+        if replica is not None and (node.name, replica.id) in self.cuts:
+            self.keep(self.later, 1, reached, replica)
+            self.later(CALL_TIMEOUT_MS, reached, Silence.TIMED_OUT)
             return
-        self.later(ms, f, r)
-
-    def ordered(self, n, life, e, r, at):
-        took = self.now - at
-        if r == "silent" or r is not None and r.dark:
-            self.later(max(1, CALL - took), self.told, n, life, e, "unknown", at)
+        self.later(delay, reached, replica)
+
+    def ordered(
+        self,
+        node: nodes.Node,
+        life: int,
+        order: effects.Order,
+        replica: Replica | Silence | None,
+        sent_at: int,
+    ) -> None:
+        """An order reaches a replica, or does not."""
+        if isinstance(replica, Silence) or replica is not None and replica.dark:
+            rest = max(1, CALL_TIMEOUT_MS - (self.now - sent_at))
+            self.later(rest, self.order_ended, node, life, order, "unknown", sent_at)
             return
-        if r is None or self.at_place.get(e.address) is not r:
-            self.told(n, life, e, "failed", at)
+        if replica is None or self.at_place.get(order.address) is not replica:
+            self.order_ended(node, life, order, "failed", sent_at)
             return
-        if r.id != e.replica:
-            self.later(2, self.told, n, life, e, "moved", at)
+        if replica.id != order.replica:
+            self.later(2, self.order_ended, node, life, order, "moved", sent_at)
             return
-        self.log("order", replica=r.id, holder=e.holder, fence=int(e.fence), kind=e.kind, node=n.name)
-        got = r.order(e)
-        if (r.id, n.name) in self.cuts or self.rng.random() < self.lost_answers:
-            self.later(CALL, self.told, n, life, e, "unknown", at)
+        fence = int(order.fence)
+        self.record(replica_rows.Order, replica.id, order.holder, fence, order.kind, node.name)
+        outcome = replica.order(order)
+        if (replica.id, node.name) in self.cuts or self.rng.random() < self.lost_answers:
+            self.later(CALL_TIMEOUT_MS, self.order_ended, node, life, order, "unknown", sent_at)
             return
-        self.later(self.rng.randrange(1, 8), self.told, n, life, e, got, at)
-
-    def told(self, n, life, e, got, at):
-        self.later(0, self.give, n, life, keeper_events.Ordered(self.now, e.order, got, self.now - at))
-
-    def do_report(self, n, e):
-        life = n.life
-
-        def reached(r):
-            ok = r not in (None, "silent") and not r.dark and r.id == e.replica
-            rows = self.seen(250) if ok else []
-            row = next((x for x in rows if x["id"] == e.replica), None)
-            body = {"models": row["models"], "busy": row["busy"], "orders": row["taken"]} if row else {}
-            ms = CALL if r == "silent" or r is not None and r != "silent" and r.dark else 3
-            ev = keeper_events.Reported(self.now, e.replica, bool(row), body)
-            self.later(ms, self.give, n, life, ev)
-
-        self.reach(n, e.address, reached)
-
-
-def spread(models, replicas, each, rng=None):
+        delay = self.rng.randrange(1, 8)
+        self.later(delay, self.order_ended, node, life, order, outcome, sent_at)
+
+    def order_ended(
+        self, node: nodes.Node, life: int, order: effects.Order, outcome: str, sent_at: int
+    ) -> None:
+        """The controller hears what came of its order."""
+        event = events.Ordered(self.now, order.order, outcome, self.now - sent_at)
+        self.later(0, self.give, node, life, event)
+
+    def do_report(self, node: nodes.Node, effect: effects.Report) -> None:
+        """A controller asks a replica what it holds."""
+        life = node.life
+        self.reach(node, effect.address, lambda replica: self.report(node, life, effect, replica))
+
+    def report(
+        self, node: nodes.Node, life: int, effect: effects.Report, replica: Replica | Silence | None
+    ) -> None:
+        """The replica answers as it was a little earlier, or nobody answers."""
+        silent = isinstance(replica, Silence) or replica is not None and replica.dark
+        ok = not silent and isinstance(replica, Replica) and replica.id == effect.replica
+        rows = self.listed_before(REPORT_AGE_MS) if ok else []
+        row = next((row for row in rows if row["id"] == effect.replica), None)
+        body = {"models": row["models"], "busy": row["busy"], "orders": row["taken"]} if row else {}
+        event = events.Reported(self.now, effect.replica, bool(row), body)
+        self.later(CALL_TIMEOUT_MS if silent else REPORT_MS, self.give, node, life, event)
+
+
+def spread(models: list[str], replicas: int, each: int) -> list[list[str]]:
     """Lists of models for replicas: the first two on many, of the others as many as there is room for."""
     rest = iter(models[2:])
-    rng = rng or random.Random(1)
     return [
-        [models[i % 2], *[m for m in (next(rest, None) for _ in range(each - 1)) if m]]
+        [models[i % 2], *[model for model in (next(rest, None) for _ in range(each - 1)) if model]]
         for i in range(replicas)
     ]
--- a/basaltport/simulation/routes/slow_links.py
+++ b/basaltport/simulation/routes/slow_links.py
@@ -2,8 +2,11 @@
 
 import typing
 
+import basaltport.events as events
 import basaltport.frames as frames
+import basaltport.simulation.routes.nodes as nodes
 
+BITS_PER_BYTE = 8
 BITS_PER_MBPS_AND_MS = 1000
 
 
@@ -14,26 +17,30 @@
     sends: bool
 
 
-class SlowLinkMixin:
-    """Comes before `Nodes`. `link_mbps`: bandwidth by process; those not named have no limit."""
+class SlowLinkMixin(nodes.Nodes):
+    """Comes before the world. `link_mbps`: bandwidth by process; those not named have no limit;
+    `link_free_at`: when a direction has sent all it was given."""
 
     def slow_links_start(self) -> None:
+        """No link has a limit."""
         self.link_mbps: dict[str, float] = {}
         self.link_free_at: dict[Direction, float] = {}
 
-    def do_send(self, n, e):
-        to = self.by_addr.get(e.addr)
-        if to is not None and (n.name, to.name) not in self.cuts:
-            ways = [Direction(n.name, True), Direction(to.name, False)]
+    def do_send(self, node: nodes.Node, effect: events.Send) -> None:
+        """Sends a message; over a slow link it comes after what was sent before."""
+        receiver = self.by_addr.get(effect.addr)
+        if receiver is not None and (node.name, receiver.name) not in self.cuts:
+            ways = [Direction(node.name, True), Direction(receiver.name, False)]
             slow = [way for way in ways if way.name in self.link_mbps]
             if slow:
-                self.occupy(slow, (n.name, to.name), 8 * len(frames.pack(e.msg)))
-        super().do_send(n, e)
+                bits = BITS_PER_BYTE * len(frames.pack(effect.msg))
+                self.occupy(slow, (node.name, receiver.name), bits)
+        super().do_send(node, effect)
 
     def occupy(self, ways: list[Direction], link: tuple[str, str], bits: int) -> None:
         """Each way is taken until the bits are through; what this pair sends next comes after them."""
         for way in ways:
             took = bits / (self.link_mbps[way.name] * BITS_PER_MBPS_AND_MS)
-            free = max(self.link_free_at.get(way, 0.0), self.now) + took
-            self.link_free_at[way] = free
-            self.last[link] = max(self.last.get(link, 0), int(free))
+            free_at = max(self.link_free_at.get(way, 0.0), self.now) + took
+            self.link_free_at[way] = free_at
+            self.in_order(link, int(free_at))
--- /dev/null
+++ b/basaltport/simulation/trace.py
@@ -0,0 +1,38 @@
+"""Traces of simulated runs: what happened, row by row, as typed records. Times are in ms since the run
+began."""
+
+import collections.abc
+import dataclasses
+import typing
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class Row:
+    """Something that happened at a time; `KIND` names it in a trace file."""
+
+    KIND: typing.ClassVar[str] = ""
+    at_ms: int
+
+
+Trace = collections.abc.Sequence[Row]
+R = typing.TypeVar("R", bound=Row)
+
+
+def of_kind(trace: Trace, kind: type[R]) -> list[R]:
+    """The rows of one kind, in order."""
+    return [row for row in trace if isinstance(row, kind)]
+
+
+FILE_NAMES = {
+    "at_ms": "t",
+    "try_id": "try",
+    "index": "i",
+    "rows_seen": "n",
+    "log_index": "serial",
+}
+
+
+def as_json(row: Row) -> dict[str, typing.Any]:
+    """A row as a trace file has it."""
+    fields = {field.name: getattr(row, field.name) for field in dataclasses.fields(row)}
+    return {"k": row.KIND, **{FILE_NAMES.get(name, name): value for name, value in fields.items()}}
--- a/basaltport/simulation/virtual_disk.py
+++ b/basaltport/simulation/virtual_disk.py
@@ -1,6 +1,7 @@
 """A member's disk on virtual time: bytes are safe only once synced; power loss may tear what was not."""
 
 import json
+import random
 import typing
 
 import result
@@ -10,14 +11,17 @@
 import basaltport.consensus.write_ahead_log as write_ahead_log
 import basaltport.identifiers as identifiers
 
+PREFIX_SHARE = 0.5
+
 Queued = tuple[int, bytes, str | None]
 
 
-class SimDisk:
+class VirtualDisk:
     """The log's own frames and replay; the switch of snapshots is one step, as a rename is. docs/storage.md
     says why a power loss of the real files comes to what `power_loss` does here."""
 
-    def __init__(self, rng):
+    def __init__(self, rng: random.Random) -> None:
+        """It holds nothing, as a new one."""
         self.rng = rng
         self.snap = json.dumps(journal.empty())
         self.safe = b""
@@ -29,12 +33,15 @@
         self.full = False
         self.broken = False
 
-    def write(self, token: int, records: list[record_framing.Record], whole: dict | None) -> None:
+    def write(
+        self, token: int, records: list[record_framing.Record], whole: dict[str, typing.Any] | None
+    ) -> None:
         """Takes a write; it is safe only when `done` is called for it."""
         raw = record_framing.encode_batch([record_framing.encode(r) for r in records]) if records else b""
         self.queue.append((token, raw, json.dumps(whole) if whole is not None else None))
 
-    def lapse(self, now: int) -> int:
+    def sync_ends_at(self, now: int) -> int:
+        """When a sync that begins now ends, in ms of the same clock."""
         return now + self.rng.randrange(1, 6) * self.slow
 
     def begin(self) -> None:
@@ -57,6 +64,12 @@
             out.append((token, not self.broken))
         return out
 
+    def finish_all(self) -> None:
+        """The process ends, and what its last sync covers is safe: all that waits, if none was under way."""
+        self.syncing = self.syncing or len(self.queue)
+        self.done()
+        self.queue = []
+
     def power_loss(self) -> None:
         """Of what was under way: nothing; or a prefix of its snapshots, each whole; or all of them, and of
         the records behind the last one a prefix, the last frame torn anywhere or with its beginning
@@ -90,17 +103,18 @@
     def _torn(self, raw: bytes) -> bytes:
         """Nothing, a prefix or all of it, or zeros where the beginning should be."""
         cut = self.rng.randrange(0, len(raw) + 1)
-        if self.rng.random() < 0.5:
+        if self.rng.random() < PREFIX_SHARE:
             return raw[:cut]
         return bytes(cut) + raw[cut:]
 
     def load(self) -> result.Result[tuple[dict[str, typing.Any], identifiers.Term], str]:
         """As a start reads it: Ok((held, promised)) or Err. The cut log can be appended to again."""
         got = record_framing.scan(self.safe)
-        if got.is_err():
+        if isinstance(got, result.Err):
             return got
-        self.safe = self.safe[: got.ok_value.length]
+        scanned = got.ok_value
+        self.safe = self.safe[: scanned.length]
         self.broken = False
-        state = write_ahead_log.replay(json.loads(self.snap), got.ok_value.records)
+        state = write_ahead_log.replay(json.loads(self.snap), scanned.records)
         held = {"book": state["book"], "tail": state["tail"]}
         return result.Ok((held, identifiers.Term(*state["promised"])))
--- a/tests/placement_fleet.py
+++ b/tests/placement_fleet.py
@@ -97,7 +97,7 @@
     def snap(self):
         rows = []
         for s in self.sims.values():
-            s.settle()
+            s.finish_job()
             held = {m: sorted(a) for m, a in s.models.items()}
             rows.append(
                 {"id": s.id, "service": "s", "address": s.id, "zone": s.zone, "slots": 32, "state": s.state}
@@ -183,7 +183,7 @@
     def serve(self, zone, item, r, since):
         m, _, a = item.partition("/")
         s = self.sims[r]
-        s.settle()
+        s.finish_job()
         if m not in s.models or a and a not in s.models[m]:
             self.unserved += 1
             return
@@ -193,7 +193,7 @@
         self.after(300, self.ran, s, m)
 
     def ran(self, s, m):
-        s.settle()
+        s.finish_job()
         s.runs[m] -= 1
 
     def release(self):
--- a/tests/test_control_scenarios.py
+++ b/tests/test_control_scenarios.py
@@ -11,6 +11,8 @@
 import basaltport.simulation.routes.control as control
 import basaltport.simulation.routes.control_losses as control_losses
 import basaltport.simulation.routes.control_play as control_play
+import basaltport.simulation.routes.operator_rows as operator_rows
+import basaltport.simulation.trace as trace
 
 PRESETS = ("furrow-3", "tsehay-3", "furrow-5", "tsehay-5")
 SWEPT = (
@@ -45,12 +47,14 @@
 @pytest.mark.parametrize("name", MISSED)
 def test_who_missed_500_changes_catches_up_and_leads(name):
     play = played(name, 1, LONG[name])
-    assert sum(r["k"] == "answer" and r["status"] == 200 for r in play.w.trace) > control_losses.CHANGES
+    answers = trace.of_kind(play.world.trace, operator_rows.ChangeAnswered)
+    assert sum(row.status == 200 for row in answers) > control_losses.CHANGES
 
 
 def test_a_change_may_be_repeated_after_hundreds_of_others():
     play = played("repeats-after-hundreds", 1, LONG["repeats-after-hundreds"])
-    assert [r["status"] for r in play.w.trace if r["k"] == "repeat"].count(200) > 50
+    repeats = trace.of_kind(play.world.trace, operator_rows.Repeat)
+    assert [row.status for row in repeats].count(200) > 50
 
 
 @pytest.mark.parametrize("preset", PRESETS)
@@ -68,7 +72,7 @@
 
 
 def test_one_seed_is_one_run():
-    traces = [control.Play("leader-cut-20s", 3, "furrow-3").play().w.trace for _ in range(2)]
+    traces = [control.Play("leader-cut-20s", 3, "furrow-3").play().world.trace for _ in range(2)]
     assert traces[0] == traces[1]
 
 
@@ -147,4 +151,4 @@
 def test_a_broken_rule_is_found(monkeypatch, rule, name, breaks):
     for owner, attribute, broken in breaks:
         monkeypatch.setattr(owner, attribute, broken)
-    assert rule in {f["rule"] for f in control.Play(name, 1, "furrow-3").play().findings()}
+    assert rule in {found.rule for found in control.Play(name, 1, "furrow-3").play().findings()}
--- a/tests/test_route_scenarios.py
+++ b/tests/test_route_scenarios.py
@@ -11,8 +11,10 @@
 import basaltport.placement.orders as orders
 import basaltport.placement.store as store
 import basaltport.simulation.routes.mayhem as routemayhem
+import basaltport.simulation.routes.request_rows as request_rows
 import basaltport.simulation.routes.scenes as routescenes
-import basaltport.simulation.virtual_disk as simdisk
+import basaltport.simulation.trace as trace
+import basaltport.simulation.virtual_disk as virtual_disk
 import basaltport.proxy.budget as budget
 import basaltport.proxy.decision as decision
 import basaltport.proxy.pick as pick
@@ -27,7 +29,8 @@
 def test_no_rule_breaks(name, seed):
     p = routescenes.Play(name, seed).play()
     assert p.findings() == []
-    assert sum(r["k"] == "op-end" and r["outcome"] == "done" for r in p.w.trace) > 300
+    ends = trace.of_kind(p.world.trace, request_rows.OperationEnd)
+    assert sum(row.outcome == "done" for row in ends) > 300
 
 
 @pytest.mark.parametrize("name, seed", [("proxy-killed-while-models-move", 2), ("leader-disk-stalled", 1)])
@@ -36,7 +39,7 @@
 
 
 def test_one_seed_is_one_run():
-    traces = [routescenes.Play("mayhem", 5).play().w.trace for _ in range(2)]
+    traces = [routescenes.Play("mayhem", 5).play().world.trace for _ in range(2)]
     assert traces[0] == traces[1]
     assert routemayhem.schedule(7) == routemayhem.schedule(7) != routemayhem.schedule(8)
 
@@ -142,11 +145,11 @@
     ("evacuated", "evacuation-while-a-keeper-dies", [(pick.PickMixin, "open", _any_zone)]),
     ("in-force", "quiet", [(follow.FollowMixin, "take_book", _book_once)]),
     ("back", "quiet", [(follow.FollowMixin, "take_book", _forgets)]),
-    ("agreed", "power-loss", [(simdisk.SimDisk, "done", _not_written)]),
+    ("agreed", "power-loss", [(virtual_disk.VirtualDisk, "done", _not_written)]),
     ("fed", "rare-models-at-once", [(follow.FollowMixin, "take_rows", _rows_once)]),
     ("refused", "operators-race", [(desk.DeskMixin, "judged", _taken_though_refused)]),
     ("refused", "operators-race", [(desk.DeskMixin, "judged", _no_compare)]),
-    ("survives", "power-loss", [(simdisk.SimDisk, "done", _not_written)]),
+    ("survives", "power-loss", [(virtual_disk.VirtualDisk, "done", _not_written)]),
     ("resends", "replicas-refuse", [(budget.Retries, "room", lambda self, now, nodes: True)]),
     ("cold", "replicas-cold", [(pick.PickMixin, "cold_share", lambda self, r, row: 10**6)]),
     ("store", "rare-models-at-once", [(store.Bucket, "fill", _endless)]),
@@ -171,7 +174,7 @@
 
 
 def rules_broken(name, seed):
-    return {f["rule"] for f in routescenes.Play(name, seed).play().findings()}
+    return {found.rule for found in routescenes.Play(name, seed).play().findings()}
 
 
 @pytest.mark.parametrize("rule, name, breaks", CASES, ids=[f"{c[0]}-{c[1]}" for c in CASES])
