--- a/basaltport/simulation/routes/attempts.py
+++ b/basaltport/simulation/routes/attempts.py
@@ -3,7 +3,7 @@
 import typing
 
 import basaltport.proxy.events as relay_events
-import basaltport.proxy.outcomes as outcomes
+import basaltport.proxy.attempt_outcome as outcomes
 import basaltport.simulation.routes.fleet_base as fleet_base
 import basaltport.simulation.routes.nodes as nodes
 import basaltport.simulation.routes.request_rows as request_rows
--- a/basaltport/simulation/routes/fleet_world.py
+++ b/basaltport/simulation/routes/fleet_world.py
@@ -7,7 +7,7 @@
 import basaltport.events as events
 import basaltport.member as member
 import basaltport.placement.machine as machine
-import basaltport.proxy.role as relay
+import basaltport.proxy.node as relay
 import basaltport.simulation.processes as processes
 import basaltport.simulation.routes.attempts as attempts
 import basaltport.simulation.routes.clients as clients
