--- a/basaltport/simulation/routes/attempts.py
+++ b/basaltport/simulation/routes/attempts.py
@@ -2,7 +2,7 @@
 
 import typing
 
-import basaltport.proxy.events as relay_events
+import basaltport.proxy.events as proxy_events
 import basaltport.proxy.attempt_outcome as outcomes
 import basaltport.simulation.routes.fleet_base as fleet_base
 import basaltport.simulation.routes.nodes as nodes
@@ -38,7 +38,7 @@
     def __init__(
         self,
         node: nodes.Node,
-        effect: relay_events.Attempt,
+        effect: proxy_events.Attempt,
         client_try: "clients.Try",
         item: str,
         sent_at: int,
@@ -69,7 +69,7 @@
         self.attempts = {}
         self.connected: set[fleet_base.AttemptKey | tuple[str, int, str]] = set()
 
-    def do_attempt(self, node: nodes.Node, effect: relay_events.Attempt) -> None:
+    def do_attempt(self, node: nodes.Node, effect: proxy_events.Attempt) -> None:
         """Connects to the replica, or takes a connection that is kept, and sends the request."""
         item = node.member.requests[effect.request].item
         client_try = self.tries[node.name, node.life, effect.request]
@@ -213,12 +213,12 @@
         attempt.begun = True
         if not client_try.over and attempt.streams:
             client_try.pieces = max(client_try.pieces, pieces)
-        self.give(node, attempt.life, relay_events.Progress(self.now, attempt.effect.attempt))
+        self.give(node, attempt.life, proxy_events.Progress(self.now, attempt.effect.attempt))
         if last and not attempt.over:
             attempt.over, attempt.ended_at = True, self.now
             self.client_done(client_try)
             result = outcomes.Result(Outcome.DONE, DONE_STATUS)
-            self.give(node, attempt.life, relay_events.Ended(self.now, attempt.effect.attempt, result))
+            self.give(node, attempt.life, proxy_events.Ended(self.now, attempt.effect.attempt, result))
 
     def answer(self, attempt: SentAttempt, outcome: outcomes.Outcome, status: int) -> None:
         """A whole answer of the replica is under way to the proxy."""
@@ -237,7 +237,7 @@
             return
         self.ended(attempt)
         result = outcomes.Result(outcome, status, detail, resumes)
-        event = relay_events.Ended(self.now, attempt.effect.attempt, result)
+        event = proxy_events.Ended(self.now, attempt.effect.attempt, result)
         self.give(attempt.node, attempt.life, event)
 
     def ended(self, attempt: SentAttempt) -> None:
@@ -262,7 +262,7 @@
         if attempt.alive:
             self.lose(attempt, "the time is over", True)
 
-    def do_abort(self, node: nodes.Node, effect: relay_events.Abort) -> None:
+    def do_abort(self, node: nodes.Node, effect: proxy_events.Abort) -> None:
         """The proxy gives an attempt up."""
         attempt = self.attempts.get((node.name, node.life, effect.attempt))
         if attempt:
--- a/basaltport/simulation/routes/clients.py
+++ b/basaltport/simulation/routes/clients.py
@@ -4,7 +4,7 @@
 import typing
 
 import basaltport.identifiers as identifiers
-import basaltport.proxy.events as relay_events
+import basaltport.proxy.events as proxy_events
 import basaltport.simulation.routes.attempts as attempts
 import basaltport.simulation.routes.fleet_base as fleet_base
 import basaltport.simulation.routes.nodes as nodes
@@ -152,13 +152,13 @@
         if operation.kind in REPEATABLE:
             self.later(min(UNREAD_MS, left // 3), self.unread, client_try)
 
-    def arrived(self, client_try: Try, left: int) -> relay_events.Arrived:
+    def arrived(self, client_try: Try, left: int) -> proxy_events.Arrived:
         """The request as the proxy gets it."""
         operation = client_try.operation
         path, item = f"/{operation.kind}/1", identifiers.Item(operation.item)
-        return relay_events.Arrived(self.now, client_try.request, HOST, path, item, int(left), BODY_BYTES)
+        return proxy_events.Arrived(self.now, client_try.request, HOST, path, item, int(left), BODY_BYTES)
 
-    def read(self, client_try: Try, event: relay_events.Arrived) -> None:
+    def read(self, client_try: Try, event: proxy_events.Arrived) -> None:
         """The proxy reads the request, if it is still the same process."""
         node = client_try.node
         if node.life != client_try.life or node.member is None:
@@ -180,7 +180,7 @@
         client_try.over = outcome
         self.record_end(client_try, outcome, status, retry)
         if outcome in ("gone", "unread"):
-            left = relay_events.Left(self.now, client_try.request)
+            left = proxy_events.Left(self.now, client_try.request)
             self.give(client_try.node, client_try.life, left)
         operation = client_try.operation
         resumed = operation.kind == "resume"
@@ -230,16 +230,16 @@
         """The client's side of a request that a proxy has."""
         return self.tries.get((node.name, node.life, request))
 
-    def do_close(self, node: nodes.Node, effect: relay_events.Close) -> None:
+    def do_close(self, node: nodes.Node, effect: proxy_events.Close) -> None:
         """The proxy answers by itself."""
         client_try = self.try_of(node, effect.request)
         self.later(1, self.end_try, client_try, "own", effect.status, effect.retry_after)
 
-    def do_pass(self, node: nodes.Node, effect: relay_events.Pass) -> None:
+    def do_pass(self, node: nodes.Node, effect: proxy_events.Pass) -> None:
         """The proxy passes a failure on."""
         self.later(1, self.end_try, self.try_of(node, effect.request), "failed", 500, 0)
 
-    def do_cut(self, node: nodes.Node, effect: relay_events.Cut) -> None:
+    def do_cut(self, node: nodes.Node, effect: proxy_events.Cut) -> None:
         """The proxy ends an answer that is not complete."""
         self.later(1, self.end_try, self.try_of(node, effect.request), "cut", 0, 0)
 
--- a/basaltport/simulation/routes/fleet_base.py
+++ b/basaltport/simulation/routes/fleet_base.py
@@ -5,7 +5,7 @@
 import typing
 
 import basaltport.identifiers as identifiers
-import basaltport.proxy.events as relay_events
+import basaltport.proxy.events as proxy_events
 import basaltport.simulation.routes.fleet_size as fleet_size
 import basaltport.simulation.routes.nodes as nodes
 import basaltport.simulation.routes.timings as timings
@@ -108,6 +108,6 @@
         """The configuration of an edition, as a change of this id sends it."""
         raise NotImplementedError
 
-    def do_attempt(self, node: nodes.Node, effect: relay_events.Attempt) -> None:
+    def do_attempt(self, node: nodes.Node, effect: proxy_events.Attempt) -> None:
         """Sends an attempt of a proxy to a replica."""
         raise NotImplementedError
--- a/basaltport/simulation/routes/fleet_world.py
+++ b/basaltport/simulation/routes/fleet_world.py
@@ -93,10 +93,10 @@
         """The real one."""
         return machine.Placement(random.Random(self.rng.getrandbits(nodes.ID_BITS)))
 
-    def proxy_of(self, me: member.Me, seed: int) -> relay.Relay:
+    def proxy_of(self, me: member.Me, seed: int) -> relay.ProxyNode:
         """The real one."""
         bounds = dataclasses.asdict(self.timings)
-        return relay.Relay(me, seed, self.now, bounds, len(self.zones))
+        return relay.ProxyNode(me, seed, self.now, bounds, len(self.zones))
 
     def document(self, edition: int, change: str) -> dict[str, typing.Any]:
         """The configuration of an edition, as a change of this id sends it."""
