--- a/basaltport/simulation/routes/nodes.py
+++ b/basaltport/simulation/routes/nodes.py
@@ -5,7 +5,7 @@
 import typing
 
 import basaltport.consensus.quorum as quorum
-import basaltport.controller.role as role
+import basaltport.controller.node as role
 import basaltport.events as events
 import basaltport.frames as frames
 import basaltport.identifiers as identifiers
