--- a/basaltport/simulation/routes/control_losses.py
+++ b/basaltport/simulation/routes/control_losses.py
@@ -35,7 +35,7 @@
     """They lose power and stay away; gives who it is."""
     lost = victims(play, first, new, gone)
     for name in lost:
-        play.world.lose_keeper(name)
+        play.world.lose_controller(name)
     return lost
 
 
@@ -48,15 +48,15 @@
     moment, variant = play.sweep()
     old = play.leader() if variant % 2 else play.follower()
     new = world.new_name()
-    world.add_keeper(new)
+    world.add_controller(new)
     world.run(world.catch_up_ms - (BEFORE_STOP_MS if moment < BEFORE_STOP_MS else 0))
     since = world.now
     if moment >= BEFORE_STOP_MS:
-        world.retire_keeper(old)
+        world.retire_controller(old)
     world.run(max(0, moment - BEFORE_STOP_MS) if moment >= BEFORE_STOP_MS else moment)
     lose(play, VICTIMS[variant // 2 % len(VICTIMS)], new, old)
     if moment < BEFORE_STOP_MS:
-        world.later(since + BEFORE_STOP_MS - world.now, world.retire_keeper, old)
+        world.later(since + BEFORE_STOP_MS - world.now, world.retire_controller, old)
     play.majority()
     world.run(BEFORE_STOP_MS)
     play.majority("majority-after-stop")
@@ -67,9 +67,9 @@
     """The old one is gone; a second later another starts, under its own name or the former one."""
     world = play.world
     name = world.new_name() if own_name else old
-    world.remove_keeper(old)
+    world.remove_controller(old)
     world.run(GONE_MS)
-    world.add_keeper(name)
+    world.add_controller(name)
     return name
 
 
@@ -97,8 +97,8 @@
     moment, variant = play.sweep()
     old = play.leader() if variant % 2 else play.follower()
     new = world.new_name() if variant // 2 % 2 == 0 else old
-    world.remove_keeper(old)
-    world.later(GONE_MS, world.add_keeper, new)
+    world.remove_controller(old)
+    world.later(GONE_MS, world.add_controller, new)
     world.run(moment)
     first = VICTIMS[variant // 4 % len(VICTIMS)]
     lost = lose(play, first, new if new in world.nodes else play.leader(), old)
@@ -118,7 +118,7 @@
     world.traffic(control_play.LOW_FLOW, world.mix)
     moment, variant = play.sweep()
     new = world.new_name()
-    world.add_keeper(new)
+    world.add_controller(new)
     world.run(world.catch_up_ms)
     old = play.leader()
     for name in sorted(world.core - {old})[: 1 + variant % 2]:
@@ -127,7 +127,7 @@
     for name in world.up_members():
         world.repeat(change, name)
     world.run(moment // STEPS_A_MS)
-    world.retire_keeper(old)
+    world.retire_controller(old)
     world.run(1000)
     for node in world.core_nodes():
         node.disk.slow = 1
@@ -210,8 +210,8 @@
 
     def replace(name: str) -> str:
         new = name if play.seed % 2 else play.world.new_name()
-        play.world.remove_keeper(name)
-        play.world.add_keeper(new)
+        play.world.remove_controller(name)
+        play.world.add_controller(new)
         play.world.run(1)
         return new
 
@@ -230,9 +230,9 @@
     for _ in range(3):
         world.must(world.configure)
     if play.seed % WAYS_BACK == REPLACED:
-        world.remove_keeper(name)
+        world.remove_controller(name)
         name = world.new_name()
-        world.add_keeper(name)
+        world.add_controller(name)
     world.link_mbps[name] = SLOW_MBPS
     if world.nodes[name].member is None:
         world.back(name)
--- a/basaltport/simulation/routes/fleet_world.py
+++ b/basaltport/simulation/routes/fleet_world.py
@@ -172,7 +172,7 @@
             return
         self.restart(node.name, after=after)
 
-    def stop_keeper(self, name: str, after: int = REPLACED_MS) -> None:
+    def stop_controller(self, name: str, after: int = REPLACED_MS) -> None:
         """SIGTERM: a leader hands over; it ends soon and starts again."""
         node = self.nodes[name]
         if node.member is None or node.frozen:
--- a/basaltport/simulation/routes/mayhem.py
+++ b/basaltport/simulation/routes/mayhem.py
@@ -226,7 +226,7 @@
 def hand_over(world: fleet_world.World, first: float, second: float, ms: int) -> None:
     """A controller is stopped in good order."""
     if len(up(world, "k")) == len(world.core):
-        world.stop_keeper(pick(world.core, first), ms)
+        world.stop_controller(pick(world.core, first), ms)
 
 
 def apart_from_proxies(world: fleet_world.World, first: float, second: float, ms: int) -> None:
--- a/basaltport/simulation/routes/nodes.py
+++ b/basaltport/simulation/routes/nodes.py
@@ -115,7 +115,7 @@
             node.founders = list(self.seeds) if first else None
         me = self.identity(node)
         seed = self.rng.getrandbits(ID_BITS)
-        controller: typing.Any = role.Keeper
+        controller: typing.Any = role.Controller
         return controller(me, seed, self.clock(node), held, current_term, self.placement())
 
     def start_proxy(self, node: Node) -> processes.Reducer:
--- a/basaltport/simulation/routes/scenes.py
+++ b/basaltport/simulation/routes/scenes.py
@@ -240,7 +240,7 @@
 def keepers_rolled(play: Play) -> None:
     """Each keeper is stopped in order, a leader hands over, and started again."""
     for name in sorted(play.world.core):
-        play.world.stop_keeper(name, 1000)
+        play.world.stop_controller(name, 1000)
         play.world.run(500)
         play.world.must(play.world.configure)
         play.world.run(4000)
