--- a/basaltport/proxy/upstream.py
+++ b/basaltport/proxy/upstream.py
@@ -14,7 +14,7 @@
 import basaltport.proxy.memory_limit as memory
 import basaltport.proxy.attempt_outcome as outcomes
 import basaltport.proxy.header_names as words
-import basaltport.replica_client.adapter as adapter
+import basaltport.query_api.replica_client.adapter as adapter
 
 Outcome = outcomes.Outcome
 Result = outcomes.Result
