--- a/basaltport/member.py
+++ b/basaltport/member.py
@@ -6,6 +6,7 @@
 import typing
 
 import basaltport.events as events
+import basaltport.handlers as handlers
 import basaltport.identifiers as identifiers
 import basaltport.text as text
 
@@ -100,7 +101,7 @@
         """Take an event; the effects."""
         self.now = max(self.now, ev.now)
         self.out = []
-        getattr(self, "on_" + type(ev).__name__.lower())(ev)
+        handlers.require(self, "on_", type(ev))(ev)
         return self.out
 
     def emit(self, e: object) -> None:
@@ -123,7 +124,7 @@
 
     def on_heard(self, ev: events.Heard) -> None:
         """Give a message to its handler, if there is one."""
-        f = getattr(self, "hear_" + type(ev.msg).__name__.lower(), None)
+        f = handlers.find(self, "hear_", type(ev.msg))
         if f is None:
             return
         f(ev.src, ev.msg)
--- a/basaltport/query_api/cell/cell.py
+++ b/basaltport/query_api/cell/cell.py
@@ -1,146 +1,171 @@
-"""Copies of each zone's cell at every member: what its replicas hold, as the zone's steward last said."""
+"""Copies of each zone's cell at every member: what its replicas hold, as the zone's controller last said."""
 
 import collections.abc
 import dataclasses
 import typing
 
-import basaltport.range_digests as ranges
 import basaltport.configuration.rules as rules
 import basaltport.identifiers as identifiers
 import basaltport.member as member
-import basaltport.messages as messages
+import basaltport.query_api.failure_detection.role_owners as role_owners
+import basaltport.query_api.messages as messages
+import basaltport.range_digests as range_digests
 
-ASK = 100
+REQUEST_INTERVAL_MS = 100
 LONG_AGO = -(10**9)
-ZONE_DUTY = "zone/"
+LOADED = "loaded"
 
 Rows = dict[str, typing.Any]
-Duty = dict[str, typing.Any]
+Owner = dict[str, typing.Any]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Cell:
-    """A copy of a zone's rows; `whole` once it was equal to its controller's."""
+    """A copy of a zone's rows; `complete` once it was equal to its controller's."""
 
     fence: int = 0
     version: int = 0
     rows: Rows = dataclasses.field(default_factory=dict)
-    whole: bool = False
+    complete: bool = False
 
+    def replicas(self) -> collections.abc.Iterator[tuple[str, Rows]]:
+        """Each replica's row: `up`, `epoch` and `room`."""
+        return ((key, row) for key, row in self.rows.items() if "|" not in key)
 
-BLANK = Cell()
+    def held(self) -> collections.abc.Iterator[tuple[str, str, str]]:
+        """Each item that a replica holds: (replica, item, state)."""
+        for key, state in self.rows.items():
+            replica, _, item = key.partition("|")
+            if item:
+                yield replica, item, state
 
 
-class CellNeeds(typing.Protocol):
+NO_CELL = Cell()
+
+
+def row_key(replica: str, item: str) -> str:
+    """The key of the row for an item that a replica holds."""
+    return f"{replica}|{item}"
+
+
+class CellInterface(typing.Protocol):
     """What `CellMixin` needs of the member it is part of; see `consensus.seat`."""
 
     me: member.Me
     now: identifiers.Millis
     book: dict[str, typing.Any]
     rules: rules.Rules
-    shunned: collections.abc.Container[str]
-    shunned_zones: collections.abc.Container[str]
+    leaving_hints: collections.abc.Container[str]
+    evacuation_hints: collections.abc.Container[str]
 
     def addr_of(self, seat: str) -> str | None:
-        """The address of a seat, if it is known."""
+        """The address of a member, if it is known."""
 
     def send(self, addr: str, msg: object) -> None:
         """Send a message to an address."""
 
 
 if typing.TYPE_CHECKING:
-    Needs = CellNeeds
+    Interface = CellInterface
 else:
-    Needs = object
+    Interface = object
 
 
-class CellMixin(Needs):
-    """Rows are keyed `replica` or `replica|item`. News comes as changed rows with digests
-    of all; a copy that differs asks for the ranges in doubt. The higher fence, then version, wins."""
+class CellMixin(Interface):
+    """Rows are keyed `replica` or `replica|item`. An update brings changed rows with digests of all; a copy
+    that differs asks for the ranges in doubt. The higher fence, then the higher version wins."""
 
     def cell_start(self) -> None:
         """Begin with nothing known."""
-        self.cell_at = LONG_AGO
+        self.cells_requested_at = LONG_AGO
         self.cells: dict[str, Cell] = {}
         self.holders: dict[str, list[tuple[str, str]]] = {}
-        self.near: dict[str, set[str]] = {}
+        self.zones_with: dict[str, set[str]] = {}
 
-    def hear_cellnews(self, src: str, m: messages.CellNews) -> None:
-        """Take news of a zone, and ask for the ranges in which the copy still differs."""
-        c = self.cells.get(m.zone, BLANK)
-        if (c.fence, c.version) >= (m.fence, m.version) and not m.ranges:
+    def cell_of(self, zone: str) -> Cell:
+        """The copy of a zone's cell; an empty one where nothing was heard."""
+        return self.cells.get(zone, NO_CELL)
+
+    def hear_cell_update(self, source: str, message: messages.CellUpdate) -> None:
+        """Take a zone's update, and ask for the ranges in which the copy still differs."""
+        cell = self.cell_of(message.zone)
+        if (cell.fence, cell.version) >= (message.fence, message.version) and not message.ranges:
             return
-        if c.fence > m.fence:
+        if cell.fence > message.fence:
             return
-        if m.ranges:
-            rows = ranges.mend(c.rows, ranges.unpack(m.ranges), m.rows)
-        else:
-            rows = {**c.rows, **m.rows}
-            rows = {k: v for k, v in rows.items() if k not in m.gone}
-        bits = ranges.differ(ranges.digests(rows), m.digests)
-        whole = c.whole or not bits.any()
-        version = max(m.version, c.version) if c.fence == m.fence else m.version
-        self.cells[m.zone] = Cell(m.fence, version, rows, whole)
-        addr = self.addr_of(m.seat)
-        if bits.any() and addr:
-            self.send(addr, messages.CellWant(m.zone, m.fence, self.me.seat, ranges.pack(bits)))
-        self.index()
+        rows = updated_rows(cell.rows, message)
+        differing = range_digests.differ(range_digests.digests(rows), message.digests)
+        complete = cell.complete or not differing.any()
+        version = max(message.version, cell.version) if cell.fence == message.fence else message.version
+        self.cells[message.zone] = Cell(message.fence, version, rows, complete)
+        address = self.addr_of(message.member_id)
+        if differing.any() and address:
+            ranges = range_digests.pack(differing)
+            self.send(address, messages.CellRequest(message.zone, message.fence, self.me.seat, ranges))
+        self.index_holders()
 
     def tick_cells(self) -> None:
-        """A member that just came asks each steward for all it knows."""
-        if self.now - self.cell_at < ASK:
+        """Ask each zone's controller for all rows of a cell that was never complete here."""
+        if self.now - self.cells_requested_at < REQUEST_INTERVAL_MS:
             return
-        self.cell_at = self.now
-        for z, d in self.zone_duties():
-            addr = self.addr_of(d["owner"])
-            if not self.cells.get(z, BLANK).whole and addr:
-                every = ranges.pack(ranges.all_of())
-                self.send(addr, messages.CellWant(z, identifiers.Fence(d["fence"]), self.me.seat, every))
-
-    def zone_duties(self) -> list[tuple[identifiers.Zone, Duty]]:
-        """The duty of each zone, with its owner and fence."""
-        ds = self.book["duties"].items()
-        return [(identifiers.Zone(k.removeprefix(ZONE_DUTY)), d) for k, d in ds if k.startswith(ZONE_DUTY)]
+        self.cells_requested_at = self.now
+        all_ranges = range_digests.pack(range_digests.all_of())
+        for zone, owner in self.zone_owners():
+            address = self.addr_of(owner["owner"])
+            if not self.cell_of(zone).complete and address:
+                fence = identifiers.Fence(owner["fence"])
+                self.send(address, messages.CellRequest(zone, fence, self.me.seat, all_ranges))
+
+    def zone_owners(self) -> list[tuple[identifiers.Zone, Owner]]:
+        """Each zone with the owner of its role and the fence."""
+        prefix = role_owners.ZONE_ROLE_PREFIX
+        owners = self.book["duties"].items()
+        return [(identifiers.Zone(role.removeprefix(prefix)), o) for role, o in owners if role.startswith(prefix)]
 
     def cells_known(self) -> bool:
-        """Whether all zones were known whole once."""
-        return all(self.cells.get(z, BLANK).whole for z, _ in self.zone_duties())
-
-    def index(self) -> None:
-        """Find anew who holds which item, and which zones have it at all."""
-        self.holders, self.near = {}, {}
-        for z, c in self.cells.items():
-            for k, v in c.rows.items():
-                r, _, i = k.partition("|")
-                if not i:
-                    continue
-                self.near.setdefault(i, set()).add(z)
-                if v == "loaded" and c.rows.get(r, {}).get("up"):
-                    self.holders.setdefault(i, []).append((z, r))
-
-    def cell_row(self, zone: str, replica: str) -> Rows:
+        """Whether the cells of all zones were complete once."""
+        return all(self.cell_of(zone).complete for zone, _ in self.zone_owners())
+
+    def index_holders(self) -> None:
+        """Find anew which replicas have an item loaded, and which zones have it at all."""
+        self.holders, self.zones_with = {}, {}
+        for zone, cell in self.cells.items():
+            for replica, item, state in cell.held():
+                self.zones_with.setdefault(item, set()).add(zone)
+                if state == LOADED and cell.rows.get(replica, {}).get("up"):
+                    self.holders.setdefault(item, []).append((zone, replica))
+
+    def replica_row(self, zone: str, replica: str) -> Rows:
         """A replica's row with the state of each item on it."""
-        rows = self.cells.get(zone, BLANK).rows
-        held = {k.partition("|")[2]: v for k, v in rows.items() if k.startswith(replica + "|")}
-        return {**rows.get(replica, {}), "held": held}
+        cell = self.cell_of(zone)
+        held = {item: state for holder, item, state in cell.held() if holder == replica}
+        return {**cell.rows.get(replica, {}), "held": held}
 
     def has_room(self, zone: str, item: str) -> bool:
         """Whether some replica of the zone could take an item, by this copy, with nothing evicted."""
         rule = self.rules.items.get(item)
         if rule is None:
             return False
-        rows = self.cells.get(zone, BLANK).rows
-        free = {r: v["room"] for r, v in rows.items() if "|" not in r and v["up"] and self.may_use(r)}
-        for k in rows:
-            r, _, i = k.partition("|")
-            if i and r in free and i in self.rules.items:
-                free[r] -= self.rules.items[i].size
-        group = {r for r in free if self.book["platform"][r]["group"] == rule.group}
-        return any(free[r] >= rule.full for r in group)
+        cell = self.cell_of(zone)
+        free = {replica: row["room"] for replica, row in cell.replicas() if row["up"] and self.may_use(replica)}
+        for replica, held_item, _ in cell.held():
+            if replica in free and held_item in self.rules.items:
+                free[replica] -= self.rules.items[held_item].size
+        listed = self.book["platform"]
+        return any(room >= rule.full for replica, room in free.items() if listed[replica]["group"] == rule.group)
 
     def may_use(self, replica: str) -> bool:
-        """False for a replica that is leaving, unlisted, or in an emptied zone."""
-        r = self.book["platform"].get(replica)
-        if r is None or replica in self.book["leaving"] or replica in self.shunned:
+        """False for a replica that is leaving, unlisted, or in an evacuated zone."""
+        listed = self.book["platform"].get(replica)
+        if listed is None or replica in self.book["leaving"] or replica in self.leaving_hints:
             return False
-        return r["zone"] not in self.book["drains"] and identifiers.Zone(r["zone"]) not in self.shunned_zones
+        zone = identifiers.Zone(listed["zone"])
+        return zone not in self.book["drains"] and zone not in self.evacuation_hints
+
+
+def updated_rows(rows: Rows, message: messages.CellUpdate) -> Rows:
+    """The rows of a copy with an update taken in."""
+    if message.ranges:
+        return range_digests.mend(rows, range_digests.unpack(message.ranges), message.rows)
+    removed = set(message.removed)
+    return {key: row for key, row in {**rows, **message.rows}.items() if key not in removed}
--- a/basaltport/query_api/failure_detection/ring.py
+++ b/basaltport/query_api/failure_detection/ring.py
@@ -1,4 +1,4 @@
-"""Heartbeats round a ring: each member pulses to a few watchers, who tell the leader whom they miss."""
+"""Heartbeats round a ring: each member sends them to a few watchers, who tell the leader whom they miss."""
 
 import collections.abc
 import typing
@@ -6,28 +6,26 @@
 import basaltport.hash_ring as hash_ring
 import basaltport.identifiers as identifiers
 import basaltport.member as member
-import basaltport.messages as messages
+import basaltport.query_api.messages as messages
 
 WATCHERS = 3
-PULSE = 300
-MISSED = 1200
-GAP = 400
-VOICE = 900
-
-
+HEARTBEAT_INTERVAL_MS = 300
+MISSED_AFTER_MS = 1200
+STOOD_STILL_MS = 400
+REPORT_VALID_MS = 900
 LONG_AGO = -(10**9)
 
 
-def watchers(seat: str, roster: collections.abc.Collection[str]) -> list[str]:
-    """The seats that follow on the ring."""
-    ring = sorted(roster, key=hash_ring.position)
-    if seat not in roster:
+def watchers(member_id: str, members: collections.abc.Collection[str]) -> list[str]:
+    """The members that follow one on the ring and watch it; none for a stranger."""
+    if member_id not in members:
         return []
-    i = ring.index(seat)
-    return [ring[(i + k) % len(ring)] for k in range(1, min(WATCHERS, len(ring) - 1) + 1)]
+    ring = sorted(members, key=hash_ring.position)
+    own = ring.index(member_id)
+    return [ring[(own + i) % len(ring)] for i in range(1, min(WATCHERS, len(ring) - 1) + 1)]
 
 
-class RingNeeds(typing.Protocol):
+class RingInterface(typing.Protocol):
     """What `RingMixin` needs of the member it is part of; see `consensus.seat`."""
 
     me: member.Me
@@ -36,64 +34,66 @@
     leader: typing.Any
 
     def addr_of(self, seat: str) -> str:
-        """The address of a seat."""
+        """The address of a member."""
 
     def send(self, addr: str, msg: object) -> None:
         """Send a message to an address."""
 
 
 if typing.TYPE_CHECKING:
-    Needs = RingNeeds
+    Interface = RingInterface
 else:
-    Needs = object
+    Interface = object
 
 
-class RingMixin(Needs):
-    """Watches seats of the ring. A watcher that itself stood still begins anew instead of accusing."""
+class RingMixin(Interface):
+    """Watches members of the ring; a watcher that itself stood still begins anew and reports nobody."""
 
     def ring_start(self) -> None:
         """Begin with nothing heard."""
-        self.pulse_n = 0
-        self.pulse_at = LONG_AGO
-        self.ring_at = self.now
-        self.pulses: dict[str, int] = {}
-        self.voices: dict[str, dict[str, int]] = {}
+        self.ring_sequence = 0
+        self.ring_sent_at = LONG_AGO
+        self.ring_ticked_at = self.now
+        self.ring_heard_at: dict[str, int] = {}
+        self.suspicions: dict[str, dict[str, int]] = {}
 
     def tick_ring(self) -> None:
-        """Send heartbeats to the watchers of this seat, and accuse whom it watches and misses."""
-        if self.now - self.ring_at > GAP:
-            self.pulses = {}
-        self.ring_at = self.now
-        if self.now - self.pulse_at < PULSE:
+        """Send heartbeats to the watchers of this member, and report whom it watches and misses."""
+        if self.now - self.ring_ticked_at > STOOD_STILL_MS:
+            self.ring_heard_at = {}
+        self.ring_ticked_at = self.now
+        if self.now - self.ring_sent_at < HEARTBEAT_INTERVAL_MS:
             return
-        self.pulse_at = self.now
-        self.pulse_n += 1
-        roster = self.book["roster"]
-        for s in watchers(self.me.seat, roster):
-            self.send(self.addr_of(s), messages.Pulse(self.me.seat, self.pulse_n))
-        for s in roster:
-            if self.me.seat not in watchers(s, roster):
-                continue
-            if self.now - self.pulses.setdefault(s, self.now) > MISSED:
-                self.accuse(s)
-
-    def accuse(self, seat: str) -> None:
-        """Tell the leader that a seat is missed."""
-        word = messages.Suspect(self.me.seat, identifiers.MemberId(seat))
+        self.ring_sent_at = self.now
+        self.ring_sequence += 1
+        members = self.book["roster"]
+        for watcher in watchers(self.me.seat, members):
+            self.send(self.addr_of(watcher), messages.RingHeartbeat(self.me.seat, self.ring_sequence))
+        for member_id in members:
+            if self.me.seat in watchers(member_id, members) and self.is_missed(member_id):
+                self.report(member_id)
+
+    def is_missed(self, member_id: str) -> bool:
+        """Whether a watched member has been silent too long."""
+        return self.now - self.ring_heard_at.setdefault(member_id, self.now) > MISSED_AFTER_MS
+
+    def report(self, member_id: str) -> None:
+        """Tell the leader that a member is missed."""
+        message = messages.SuspicionReport(self.me.seat, identifiers.MemberId(member_id))
         if getattr(self, "leading", False):
-            self.hear_suspect("", word)
+            self.hear_suspicion_report("", message)
         elif self.leader:
-            self.send(self.leader.addr, word)
+            self.send(self.leader.addr, message)
 
-    def hear_pulse(self, src: str, m: messages.Pulse) -> None:
-        """A seat that this one watches is alive."""
-        self.pulses[m.seat] = self.now
+    def hear_ring_heartbeat(self, source: str, message: messages.RingHeartbeat) -> None:
+        """A member that this one watches is alive."""
+        self.ring_heard_at[message.member_id] = self.now
 
-    def hear_suspect(self, src: str, m: messages.Suspect) -> None:
-        """A watcher misses a seat."""
-        self.voices.setdefault(m.of, {})[m.seat] = self.now
+    def hear_suspicion_report(self, source: str, message: messages.SuspicionReport) -> None:
+        """A watcher misses a member."""
+        self.suspicions.setdefault(message.suspect_id, {})[message.watcher_id] = self.now
 
-    def missed_by(self, s: str) -> int:
-        """How many watchers miss a seat just now."""
-        vs = self.voices.get(s, {})
-        return sum(1 for at in vs.values() if self.now - at < VOICE)
+    def missed_by(self, member_id: str) -> int:
+        """How many watchers miss a member just now."""
+        reports = self.suspicions.get(member_id, {})
+        return sum(1 for reported_at in reports.values() if self.now - reported_at < REPORT_VALID_MS)
--- a/basaltport/shell.py
+++ b/basaltport/shell.py
@@ -4,6 +4,7 @@
 
 import basaltport.consensus.journal as journal
 import basaltport.events as events
+import basaltport.handlers as handlers
 import basaltport.identifiers as identifiers
 import basaltport.log_events as log_events
 import basaltport.logs as logs
@@ -32,7 +33,7 @@
 
     def step(self, ev):
         for e in self.member.step(ev):
-            getattr(self, "do_" + type(e).__name__.lower())(e)
+            handlers.require(self, "do_", type(e))(e)
 
     # effects
 
--- a/basaltport/simulation/world/world.py
+++ b/basaltport/simulation/world/world.py
@@ -4,6 +4,7 @@
 import random
 
 import basaltport.events as events
+import basaltport.handlers as handlers
 import basaltport.frames as frames
 import basaltport.identifiers as identifiers
 import basaltport.query_api.log_node as ledger
@@ -218,7 +219,7 @@
         if isinstance(ev, events.Replied) and ev.outcome in ("late", "broken") and ev.detail != "abandoned":
             self.log("fate", node=n.name, query=ev.dispatch.rsplit(".", 1)[0], outcome=ev.outcome)
         for e in n.member.step(ev):
-            getattr(self, "do_" + type(e).__name__.lower())(n, e)
+            handlers.require(self, "do_", type(e))(n, e)
 
     def leader(self):
         for n in self.nodes.values():
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -6,6 +6,7 @@
 import pytest
 
 import basaltport.events as events
+import basaltport.handlers as handlers
 import basaltport.identifiers as identifiers
 import basaltport.consensus.book as book
 import basaltport.member as member
@@ -113,7 +114,7 @@
         addr, m = self.bag[i] if self.rng.random() < 0.1 else self.bag.pop(i)
         k = self.nodes.get(addr)
         if k and self.rng.random() < 0.9:
-            f = getattr(k, "hear_" + type(m).__name__.lower())
+            f = handlers.require(k, "hear_", type(m))
             self.do(k, f, "", m)
 
     def ask(self, key):
