--- a/basaltport/proxy/needs.py
+++ b/basaltport/proxy/interfaces.py
@@ -6,15 +6,15 @@
 
 import basaltport.identifiers as identifiers
 import basaltport.member as member
-import basaltport.proxy.budget as budget
+import basaltport.proxy.retry_budget as budget
 import basaltport.proxy.health as replica_health
 import basaltport.proxy.request as request
-import basaltport.proxy.table as table
+import basaltport.proxy.routing as table
 
 Row = dict[str, typing.Any]
 
 
-class RelayNeeds(typing.Protocol):
+class NodeInterface(typing.Protocol):
     """The reducer as its mixins see it: state, hooks and effects."""
 
     now: identifiers.Millis
--- a/basaltport/proxy/readiness.py
+++ b/basaltport/proxy/model_readiness.py
@@ -5,7 +5,7 @@
 
 import basaltport.identifiers as identifiers
 import basaltport.cold_start.limits as limits
-import basaltport.proxy.needs as needs
+import basaltport.proxy.interfaces as needs
 import basaltport.proxy.request as request
 
 AGAIN = 250
@@ -15,7 +15,7 @@
 LONG_AGO = identifiers.Millis(-(10**9))
 
 if typing.TYPE_CHECKING:
-    Needs = needs.RelayNeeds
+    Needs = needs.NodeInterface
 else:
     Needs = object
 
--- a/basaltport/query_api/cell/cell.py
+++ b/basaltport/query_api/cell/cell.py
@@ -120,7 +120,9 @@
         """Each zone with the owner of its role and the fence."""
         prefix = role_owners.ZONE_ROLE_PREFIX
         owners = self.book["duties"].items()
-        return [(identifiers.Zone(role.removeprefix(prefix)), o) for role, o in owners if role.startswith(prefix)]
+        return [
+            (identifiers.Zone(role.removeprefix(prefix)), o) for role, o in owners if role.startswith(prefix)
+        ]
 
     def cells_known(self) -> bool:
         """Whether the cells of all zones were complete once."""
@@ -147,12 +149,16 @@
         if rule is None:
             return False
         cell = self.cell_of(zone)
-        free = {replica: row["room"] for replica, row in cell.replicas() if row["up"] and self.may_use(replica)}
+        free = {
+            replica: row["room"] for replica, row in cell.replicas() if row["up"] and self.may_use(replica)
+        }
         for replica, held_item, _ in cell.held():
             if replica in free and held_item in self.rules.items:
                 free[replica] -= self.rules.items[held_item].size
         listed = self.book["platform"]
-        return any(room >= rule.full for replica, room in free.items() if listed[replica]["group"] == rule.group)
+        return any(
+            room >= rule.full for replica, room in free.items() if listed[replica]["group"] == rule.group
+        )
 
     def may_use(self, replica: str) -> bool:
         """False for a replica that is leaving, unlisted, or in an evacuated zone."""
--- a/basaltport/query_api/query_proxy/final_answers.py
+++ b/basaltport/query_api/query_proxy/final_answers.py
@@ -33,7 +33,13 @@
     """Ends requests, and estimates when asking again is likely to help."""
 
     def finish(
-        self, request_id: identifiers.RequestId, status: int, code: str, detail: str, ran: str, retry_after_ms: int
+        self,
+        request_id: identifiers.RequestId,
+        status: int,
+        code: str,
+        detail: str,
+        ran: str,
+        retry_after_ms: int,
     ) -> None:
         """Give a request its final answer; one that still waited or ran is forgotten."""
         body = answer_body(request_id, code, detail, ran)
@@ -46,7 +52,12 @@
         self.emit(events.FinalAnswer(request_id, status, body, retry_after_ms))
 
     def reject_id(
-        self, request_id: identifiers.RequestId, status: int, code: str, detail: str = "", retry_after_ms: int = 0
+        self,
+        request_id: identifiers.RequestId,
+        status: int,
+        code: str,
+        detail: str = "",
+        retry_after_ms: int = 0,
     ) -> None:
         """Reject a request of which nothing ran."""
         self.finish(request_id, status, code, detail, "no", retry_after_ms)
--- a/basaltport/query_api/query_proxy/http_server.py
+++ b/basaltport/query_api/query_proxy/http_server.py
@@ -52,7 +52,9 @@
     """Where a request's final answer or its response goes; each request gets exactly one end. With a key,
     a response that a client no longer hears is read to its end."""
 
-    def __init__(self, request: aiohttp.web.Request, request_id: identifiers.RequestId, key: str = "") -> None:
+    def __init__(
+        self, request: aiohttp.web.Request, request_id: identifiers.RequestId, key: str = ""
+    ) -> None:
         """`key`: the client's idempotency key, or ""."""
         self.key = key
         self.client_gone = False
@@ -269,6 +271,4 @@
         key = key_of(request)
         queue = request.match_info["queue"]
         now = identifiers.steady()
-        return events.RequestArrived(
-            now, request_id, queue, token_hash_of(request), body, deadline_ms, key
-        )
+        return events.RequestArrived(now, request_id, queue, token_hash_of(request), body, deadline_ms, key)
--- a/basaltport/query_api/query_proxy/interface.py
+++ b/basaltport/query_api/query_proxy/interface.py
@@ -69,12 +69,23 @@
         """See `KeyClaimsMixin`."""
 
     def finish(
-        self, request_id: identifiers.RequestId, status: int, code: str, detail: str, ran: str, retry_after_ms: int
+        self,
+        request_id: identifiers.RequestId,
+        status: int,
+        code: str,
+        detail: str,
+        ran: str,
+        retry_after_ms: int,
     ) -> None:
         """See `FinalAnswersMixin`."""
 
     def reject_id(
-        self, request_id: identifiers.RequestId, status: int, code: str, detail: str = "", retry_after_ms: int = 0
+        self,
+        request_id: identifiers.RequestId,
+        status: int,
+        code: str,
+        detail: str = "",
+        retry_after_ms: int = 0,
     ) -> None:
         """See `FinalAnswersMixin`."""
 
--- a/basaltport/query_api/query_proxy/retries.py
+++ b/basaltport/query_api/query_proxy/retries.py
@@ -47,7 +47,9 @@
         is_cold = False
         if known is not None:
             since = known.serving_since
-            is_cold = known.state not in (model_state.LOADED, "") or (since is not None and since > attempt.sent_at)
+            is_cold = known.state not in (model_state.LOADED, "") or (
+                since is not None and since > attempt.sent_at
+            )
         code = "cold-load-timeout" if is_cold else "request-timeout"
         self.note(log_events.Event.TIMEOUT_CLASSIFIED, query=late.id, item=late.item, phase=code)
         if not self.retry(late):
--- a/basaltport/query_api/zone_controller/interface.py
+++ b/basaltport/query_api/zone_controller/interface.py
@@ -70,7 +70,9 @@
     ) -> None:
         """Take a replica's report."""
 
-    def order(self, zone: owned_zone.OwnedZone, known: replica.ControlledReplica, body: dict[str, object]) -> None:
+    def order(
+        self, zone: owned_zone.OwnedZone, known: replica.ControlledReplica, body: dict[str, object]
+    ) -> None:
         """Order a replica to load or unload."""
 
 
--- a/basaltport/query_api/zone_controller/load_permits.py
+++ b/basaltport/query_api/zone_controller/load_permits.py
@@ -130,9 +130,7 @@
         if all(name in self.store_accounts for name in self.rules.zones):
             account.granted = self.share_permits(message)
         fence = identifiers.Fence(message.fence)
-        self.send(
-            address, messages.LoadPermitGrant(message.zone, fence, message.sequence, account.granted)
-        )
+        self.send(address, messages.LoadPermitGrant(message.zone, fence, message.sequence, account.granted))
 
     def share_permits(self, message: messages.LoadPermitRequest) -> Permits:
         """The permits that a zone gets now, by pool."""
--- a/basaltport/query_api/zone_controller/slot_grants.py
+++ b/basaltport/query_api/zone_controller/slot_grants.py
@@ -87,9 +87,7 @@
         newest = max(0, known.running - using)
         known.unaccounted = [newest, *known.unaccounted[: UNACCOUNTED_REPORTS - 1]]
 
-    def reported_since_expiry(
-        self, shares: slot_shares.SlotShares, known: replica.ControlledReplica
-    ) -> bool:
+    def reported_since_expiry(self, shares: slot_shares.SlotShares, known: replica.ControlledReplica) -> bool:
         """Whether a replica has reported since the grants of every lost node expired."""
         expired = [expiry for expiry in shares.expires_at.values() if self.now >= expiry]
         return all(known.reported_at > expiry for expiry in expired)
--- a/tests/test_route_scenarios.py
+++ b/tests/test_route_scenarios.py
@@ -13,11 +13,11 @@
 import basaltport.simulation.routes.mayhem as routemayhem
 import basaltport.simulation.routes.scenes as routescenes
 import basaltport.simulation.virtual_disk as simdisk
-import basaltport.proxy.budget as budget
-import basaltport.proxy.decision as decision
-import basaltport.proxy.pick as pick
-import basaltport.proxy.role as relay
-import basaltport.proxy.table as table
+import basaltport.proxy.retry_budget as budget
+import basaltport.proxy.retry_decision as decision
+import basaltport.proxy.load_balancing as pick
+import basaltport.proxy.node as relay
+import basaltport.proxy.routing as table
 
 SEEDS = {"mayhem": 3, "leader-disk-stalled": 2, "evacuation-while-a-keeper-dies": 2}
 RUNS = [(name, SEEDS.get(name, 1)) for name in routescenes.SCENARIOS] + [("mayhem", 2)]
@@ -43,7 +43,7 @@
 
 # mutations
 
-_refuse, _judged = relay.Relay.refuse, desk.DeskMixin.judged
+_refuse, _judged = relay.ProxyNode.refuse, desk.DeskMixin.judged
 _wanted = machine.Placement.wanted
 
 
@@ -157,11 +157,11 @@
     ),
     ("starved", "rare-models-at-once", [(machine.Placement, "wanted", _not_m20)]),
     ("back", "all-killed", [(elect.ElectMixin, "quorum", _only_founding)]),
-    ("final-word", "replicas-refuse", [(relay.Relay, "refuse", _now)]),
+    ("final-word", "replicas-refuse", [(relay.ProxyNode, "refuse", _now)]),
     (
         "held",
         "rare-models-at-once",
-        [(relay.Relay, "expire", lambda self: None), (machine.Placement, "wanted", _not_m20)],
+        [(relay.ProxyNode, "expire", lambda self: None), (machine.Placement, "wanted", _not_m20)],
     ),
     ("acked", "quiet", [(desk.DeskMixin, "acknowledge", lambda self, w: None)]),
 ]
