--- a/basaltport/local_fleet/stand_ins.py
+++ b/basaltport/local_fleet/stand_ins.py
@@ -8,13 +8,13 @@
 
 import basaltport.local_fleet.engine as engine
 import basaltport.local_fleet.messages as messages
-import basaltport.proxy.words as words
+import basaltport.proxy.header_names as header_names
 
 ORDER_PATH = "/order"
 REPORT_PATH = "/report"
 LISTING_PATH = "/replicas"
 STAMP = "stand-in"
-HEADERS = words.Words()
+HEADERS = header_names.Words()
 
 
 class StandIn:
--- a/basaltport/proxy/attempts.py
+++ b/basaltport/proxy/attempt.py
@@ -3,15 +3,15 @@
 import typing
 
 import basaltport.identifiers as identifiers
-import basaltport.proxy.budget as budget
-import basaltport.proxy.decision as decision
+import basaltport.proxy.retry_budget as retry_budget
+import basaltport.proxy.retry_decision as retry_decision
 import basaltport.proxy.events as events
 import basaltport.proxy.health as health
-import basaltport.proxy.needs as needs
-import basaltport.proxy.outcomes as outcomes
+import basaltport.proxy.interfaces as interfaces
+import basaltport.proxy.attempt_outcome as attempt_outcome
 import basaltport.proxy.request as request
 
-Outcome = outcomes.Outcome
+Outcome = attempt_outcome.Outcome
 UNSENT = 6
 """Connections that may fail for one request."""
 ARRIVALS = 4
@@ -39,7 +39,7 @@
 }
 
 if typing.TYPE_CHECKING:
-    Needs = needs.RelayNeeds
+    Needs = interfaces.NodeInterface
 else:
     Needs = object
 
@@ -51,15 +51,15 @@
         """No attempts yet."""
         self.runs: dict[int, request.Run] = {}
         self.run_n = 0
-        self.retries: dict[str, budget.Retries] = {}
+        self.retries: dict[str, retry_budget.Retries] = {}
 
-    def retry_of(self, service: str) -> budget.Retries:
+    def retry_of(self, service: str) -> retry_budget.Retries:
         """The budget of further attempts at a service."""
         retries = self.retries.get(service)
         if retries is None:
             timings = self.timings
             window = int(MS * timings["retry_window_s"])
-            retries = budget.Retries(self.born, timings["retry_ratio"], window, timings["retry_slack"])
+            retries = retry_budget.Retries(self.born, timings["retry_ratio"], window, timings["retry_slack"])
             self.retries[service] = retries
         return retries
 
@@ -127,7 +127,7 @@
             self.settle(sent, run, result)
         self.pump()
 
-    def learn(self, run: request.Run, of_replica: health.Health, result: outcomes.Result) -> None:
+    def learn(self, run: request.Run, of_replica: health.Health, result: attempt_outcome.Result) -> None:
         """What an attempt's end tells of its replica, whether or not its request is still here."""
         ours = run.aborted in (request.Aborted.CLIENT_LEFT, request.Aborted.PROCESS_ENDS)
         match result.outcome:
@@ -141,7 +141,7 @@
                 of_replica.dead = True
             case Outcome.UNSENT | Outcome.CUT if not ours:
                 of_replica.bad(self.now)
-            case Outcome.FAILED if result.status >= decision.SERVER_ERROR:
+            case Outcome.FAILED if result.status >= retry_decision.SERVER_ERROR:
                 of_replica.bad(self.now)
             case Outcome.BROKEN if not ours:
                 of_replica.bad(self.now)
@@ -149,7 +149,7 @@
             case Outcome.LATE:
                 self.after_timeout(run)
 
-    def settle(self, sent: request.Request, run: request.Run, result: outcomes.Result) -> None:
+    def settle(self, sent: request.Request, run: request.Run, result: attempt_outcome.Result) -> None:
         """What becomes of a request whose attempt ended."""
         self.release(sent)
         if result.outcome is Outcome.UNSENT:
@@ -162,12 +162,12 @@
             return
         sent.ran = sent.ran or result.outcome.may_have_run
         sent.begun = sent.begun or result.outcome is Outcome.CUT
-        self.carry_out(decision.decide(self.known(sent, result)), sent, run, result)
+        self.carry_out(retry_decision.decide(self.known(sent, result)), sent, run, result)
 
-    def known(self, sent: request.Request, result: outcomes.Result) -> decision.Known:
+    def known(self, sent: request.Request, result: attempt_outcome.Result) -> retry_decision.Known:
         """All that the decision depends on."""
         within = sent.unsent <= UNSENT and sent.arrivals <= ARRIVALS
-        return decision.Known(
+        return retry_decision.Known(
             outcome=result.outcome,
             repeats=sent.route.repeats,
             status=result.status,
@@ -182,22 +182,26 @@
         )
 
     def carry_out(
-        self, move: decision.Move, sent: request.Request, run: request.Run, result: outcomes.Result
+        self,
+        move: retry_decision.Move,
+        sent: request.Request,
+        run: request.Run,
+        result: attempt_outcome.Result,
     ) -> None:
         """Do what was decided."""
         match move:
-            case decision.Move.REPEAT | decision.Move.RESUME:
+            case retry_decision.Move.REPEAT | retry_decision.Move.RESUME:
                 self.requeue(sent, run)
-            case decision.Move.PASS:
+            case retry_decision.Move.PASS:
                 self.drop(sent)
                 self.emit(events.Pass(sent.id, run.id))
-            case decision.Move.REFUSE:
+            case retry_decision.Move.REFUSE:
                 self.refuse(sent, result.detail or WHY[result.outcome], SOON)
-            case decision.Move.FAIL:
+            case retry_decision.Move.FAIL:
                 broken = result.outcome in (Outcome.BROKEN, Outcome.FAILED)
                 status = BAD_GATEWAY if broken else GATEWAY_TIMEOUT
                 self.fail(sent, status, result.detail or WHY[result.outcome])
-            case decision.Move.CUT:
+            case retry_decision.Move.CUT:
                 self.drop(sent)
                 self.emit(events.Cut(sent.id))
 
--- a/basaltport/proxy/clients.py
+++ b/basaltport/proxy/client_connections.py
@@ -8,7 +8,7 @@
 
 import aiohttp.web
 
-import basaltport.proxy.connections as connections
+import basaltport.proxy.upstream_pool as upstream_pool
 
 Connection = aiohttp.web.RequestHandler
 
@@ -22,7 +22,7 @@
     """Whether no request is on a connection, nor any byte of one unread."""
     if connection._waiter is None or connection._waiter.done() or connection._messages:
         return False
-    return connection.transport is not None and not connections.unread(connection.transport)
+    return connection.transport is not None and not upstream_pool.unread(connection.transport)
 
 
 def rested_s(connection: Connection, now_s: float) -> float:
--- a/basaltport/proxy/events.py
+++ b/basaltport/proxy/events.py
@@ -3,7 +3,7 @@
 import dataclasses
 
 import basaltport.identifiers as identifiers
-import basaltport.proxy.outcomes as outcomes
+import basaltport.proxy.attempt_outcome as attempt_outcome
 
 
 @dataclasses.dataclass(slots=True)
@@ -49,7 +49,7 @@
 
     now: identifiers.Millis
     attempt: int
-    result: outcomes.Result
+    result: attempt_outcome.Result
 
 
 @dataclasses.dataclass(slots=True)
--- a/basaltport/proxy/health.py
+++ b/basaltport/proxy/health.py
@@ -1,7 +1,7 @@
 """What this node's own attempts tell of a replica."""
 
 import basaltport.identifiers as identifiers
-import basaltport.proxy.budget as budget
+import basaltport.proxy.retry_budget as retry_budget
 
 FIRST_MS = 250
 LONGEST_MS = 4000
@@ -18,7 +18,7 @@
 
     __slots__ = ("running", "down", "fails", "last", "first", "cold", "cold_until", "absent", "dead", "ok_at")
 
-    def __init__(self, cold: budget.Cold) -> None:
+    def __init__(self, cold: retry_budget.Cold) -> None:
         """Nothing was sent to it yet. `cold`: what this node sends it while it is cold."""
         self.running = 0
         self.down = NOW
--- a/basaltport/proxy/needs.py
+++ b/basaltport/proxy/interfaces.py
@@ -6,15 +6,15 @@
 
 import basaltport.identifiers as identifiers
 import basaltport.member as member
-import basaltport.proxy.budget as budget
+import basaltport.proxy.retry_budget as retry_budget
 import basaltport.proxy.health as replica_health
 import basaltport.proxy.request as request
-import basaltport.proxy.table as table
+import basaltport.proxy.routing as routing
 
 Row = dict[str, typing.Any]
 
 
-class RelayNeeds(typing.Protocol):
+class NodeInterface(typing.Protocol):
     """The reducer as its mixins see it: state, hooks and effects."""
 
     now: identifiers.Millis
@@ -24,7 +24,7 @@
     timings: collections.abc.Mapping[str, float]
     zones: int
     ending: bool
-    table: table.Table
+    table: routing.Table
     rows: dict[str, Row]
     book: Row
     requests: dict[int, request.Request]
@@ -57,7 +57,7 @@
     def drop(self, ended: request.Request) -> None:
         """Forget a request."""
 
-    def retry_of(self, service: str) -> budget.Retries:
+    def retry_of(self, service: str) -> retry_budget.Retries:
         """The budget of a service."""
         ...
 
--- a/basaltport/proxy/pick.py
+++ b/basaltport/proxy/load_balancing.py
@@ -5,9 +5,9 @@
 
 import basaltport.query_api.failure_detection.duties as duties
 import basaltport.identifiers as identifiers
-import basaltport.proxy.budget as budget
+import basaltport.proxy.retry_budget as retry_budget
 import basaltport.proxy.health as health
-import basaltport.proxy.needs as needs
+import basaltport.proxy.interfaces as interfaces
 import basaltport.proxy.request as request
 
 FAR = 0.3
@@ -24,10 +24,10 @@
 LEAST_CAP = 4
 UNBOUNDED = 10**6
 
-Row = needs.Row
+Row = interfaces.Row
 
 if typing.TYPE_CHECKING:
-    Needs = needs.RelayNeeds
+    Needs = interfaces.NodeInterface
 else:
     Needs = object
 
@@ -77,7 +77,7 @@
         """What is known of a replica."""
         known = self.health.get(replica)
         if known is None:
-            known = self.health[replica] = health.Health(budget.Cold())
+            known = self.health[replica] = health.Health(retry_budget.Cold())
         return known
 
     def slots_of(self, row: Row) -> int:
@@ -96,7 +96,7 @@
         if service is None or not service.cold_rate:
             return UNBOUNDED
         total = service.cold_rate * self.timings["cold_excess"] + self.timings["cold_slack"]
-        return budget.Cold.share(total, self.peers(), self.me.name, replica)
+        return retry_budget.Cold.share(total, self.peers(), self.me.name, replica)
 
     def open(self, replica: str, row: Row) -> bool:
         """Whether new requests may go there at all."""
@@ -158,6 +158,6 @@
             score += SLOW
         if waiting.tokens >= AFFINE:
             return score + LEAN * (
-                duties.weight(f"{waiting.item}|{waiting.prefix}", replica) / budget.Cold.HASHES
+                duties.weight(f"{waiting.item}|{waiting.prefix}", replica) / retry_budget.Cold.HASHES
             )
         return score + DRAW * self.rng.random()
--- a/basaltport/proxy/readiness.py
+++ b/basaltport/proxy/model_readiness.py
@@ -5,7 +5,7 @@
 
 import basaltport.identifiers as identifiers
 import basaltport.cold_start.limits as limits
-import basaltport.proxy.needs as needs
+import basaltport.proxy.interfaces as interfaces
 import basaltport.proxy.request as request
 
 AGAIN = 250
@@ -15,7 +15,7 @@
 LONG_AGO = identifiers.Millis(-(10**9))
 
 if typing.TYPE_CHECKING:
-    Needs = needs.RelayNeeds
+    Needs = interfaces.NodeInterface
 else:
     Needs = object
 
@@ -92,7 +92,7 @@
             return True
         return weight >= FAR_MORE * fact.told and self.now - fact.asked >= limits.POLL
 
-    def on_facts(self, items: collections.abc.Mapping[str, needs.Row]) -> None:
+    def on_facts(self, items: collections.abc.Mapping[str, interfaces.Row]) -> None:
         """The keeper's facts came."""
         for item, told in items.items():
             fact = self.fact(item)
--- a/basaltport/proxy/role.py
+++ b/basaltport/proxy/node.py
@@ -8,14 +8,14 @@
 import basaltport.fleet.follow as follow
 import basaltport.identifiers as identifiers
 import basaltport.member as member
-import basaltport.proxy.attempts as attempts
-import basaltport.proxy.decision as decision
+import basaltport.proxy.attempt as attempt
+import basaltport.proxy.retry_decision as retry_decision
 import basaltport.proxy.events as events
-import basaltport.proxy.needs as needs
-import basaltport.proxy.pick as pick
-import basaltport.proxy.readiness as readiness
+import basaltport.proxy.interfaces as interfaces
+import basaltport.proxy.load_balancing as load_balancing
+import basaltport.proxy.model_readiness as model_readiness
 import basaltport.proxy.request as request
-import basaltport.proxy.table as table
+import basaltport.proxy.routing as routing
 
 TIMINGS = {
     "retry_ratio": 0.2,
@@ -54,10 +54,10 @@
     arrived: events.Arrived
 
 
-class Relay(
-    readiness.ReadinessMixin,
-    attempts.AttemptMixin,
-    pick.PickMixin,
+class ProxyNode(
+    model_readiness.ReadinessMixin,
+    attempt.AttemptMixin,
+    load_balancing.PickMixin,
     follow.FollowMixin,
     member.Member,
 ):
@@ -66,8 +66,8 @@
     me: member.Me
     now: identifiers.Millis
     rng: random.Random
-    book: needs.Row
-    rows: dict[str, needs.Row]
+    book: interfaces.Row
+    rows: dict[str, interfaces.Row]
 
     def __init__(
         self,
@@ -82,8 +82,8 @@
         self.born = now
         self.timings = {**TIMINGS, **(timings or {})}
         self.zones = max(1, zones)
-        self.table = table.Table(None)
-        self.table_of: needs.Row | None = None
+        self.table = routing.Table(None)
+        self.table_of: interfaces.Row | None = None
         self.requests: dict[int, request.Request] = {}
         self.waiting: dict[int, request.Request] = {}
         self.parked: dict[int, Parked] = {}
@@ -111,7 +111,7 @@
         manifest = self.book["manifest"]
         if manifest is not self.table_of:
             self.table_of = manifest
-            self.table = table.Table(manifest)
+            self.table = routing.Table(manifest)
             lines = sum(map(len, self.table.hosts.values()))
             self.emit(base.Note(CONFIGURED, {"serial": int(self.book["mserial"]), "lines": lines}))
         self.unpark()
@@ -127,7 +127,7 @@
     def on_arrived(self, ev: events.Arrived) -> None:
         """A client's request, read and whole."""
         if self.ending:
-            self.emit(events.Close(ev.request, REFUSED, ENDING, attempts.SOON))
+            self.emit(events.Close(ev.request, REFUSED, ENDING, attempt.SOON))
             return
         if self.table.empty or not self.rows:
             self.park(ev)
@@ -245,8 +245,8 @@
 
     def refuse(self, waiting: request.Request, why: str, retry_after: int) -> None:
         """Given up: a promise where it never ran; else no more than its end."""
-        if decision.give_up(waiting.begun, waiting.ran) is not decision.Move.REFUSE:
-            self.fail(waiting, attempts.GATEWAY_TIMEOUT, why)
+        if retry_decision.give_up(waiting.begun, waiting.ran) is not retry_decision.Move.REFUSE:
+            self.fail(waiting, attempt.GATEWAY_TIMEOUT, why)
             return
         self.drop(waiting)
         self.refused_here()
@@ -281,7 +281,7 @@
     def expire(self) -> None:
         """What can no longer be answered in time is refused as soon as that is known."""
         for waiting in list(self.waiting.values()):
-            least = max(attempts.LEAST, self.typical(waiting.service) // 2)
+            least = max(attempt.LEAST, self.typical(waiting.service) // 2)
             if self.stranded(waiting):
                 self.refuse(waiting, "refused by the replica that it may go to", self.come_back(waiting))
             elif self.now >= self.limit(waiting) - least:
@@ -296,7 +296,7 @@
 
     def come_back(self, waiting: request.Request) -> int:
         """When a refused client may come back, in ms."""
-        return max(attempts.SOON, self.fact(waiting.item).retry if waiting.item else 0)
+        return max(attempt.SOON, self.fact(waiting.item).retry if waiting.item else 0)
 
     # the end
 
@@ -308,10 +308,10 @@
         """What waits is refused; attempts under way are stopped, and their ends tell what may be promised."""
         self.ending = True
         for request_id in self.parked:
-            self.emit(events.Close(request_id, REFUSED, ENDING, attempts.SOON))
+            self.emit(events.Close(request_id, REFUSED, ENDING, attempt.SOON))
         self.parked = {}
         for waiting in list(self.waiting.values()):
-            self.refuse(waiting, ENDING, attempts.SOON)
+            self.refuse(waiting, ENDING, attempt.SOON)
         for run in self.runs.values():
             if run.request in self.requests:
                 run.aborted = request.Aborted.PROCESS_ENDS
--- a/basaltport/proxy/request.py
+++ b/basaltport/proxy/request.py
@@ -4,7 +4,7 @@
 
 import basaltport.identifiers as identifiers
 import basaltport.proxy.events as events
-import basaltport.proxy.table as table
+import basaltport.proxy.routing as routing
 
 
 class Aborted(enum.Enum):
@@ -41,7 +41,7 @@
         "key",
     )
 
-    def __init__(self, request_id: int, route: table.Route, arrived: events.Arrived) -> None:
+    def __init__(self, request_id: int, route: routing.Route, arrived: events.Arrived) -> None:
         """A request that has just arrived."""
         self.id = request_id
         self.route = route
--- a/basaltport/proxy/intake.py
+++ b/basaltport/proxy/request_body.py
@@ -5,7 +5,7 @@
 
 import aiohttp.web
 
-import basaltport.proxy.memory as memory
+import basaltport.proxy.memory_limit as memory_limit
 
 LONGEST_MS = 60_000
 """How long a body may take whose client states no deadline."""
@@ -28,7 +28,9 @@
         self.reason = reason
 
 
-async def read(request: aiohttp.web.BaseRequest, limit: int, deadline_ms: int, claim: memory.Claim) -> bytes:
+async def read(
+    request: aiohttp.web.BaseRequest, limit: int, deadline_ms: int, claim: memory_limit.Claim
+) -> bytes:
     """The whole body; `deadline_ms`: how long its client waits, or -1."""
     if (request.content_length or 0) > limit:
         raise RefusedError(Reason.TOO_LARGE)
@@ -40,7 +42,7 @@
         raise RefusedError(Reason.TOO_SLOW)
 
 
-async def pieces(request: aiohttp.web.BaseRequest, limit: int, claim: memory.Claim) -> bytes:
+async def pieces(request: aiohttp.web.BaseRequest, limit: int, claim: memory_limit.Claim) -> bytes:
     """The body as it comes; RefusedError where it is too large or there is no room for it."""
     out: list[bytes] = []
     size = 0
--- a/basaltport/proxy/answer.py
+++ b/basaltport/proxy/response.py
@@ -8,11 +8,11 @@
 import aiohttp.web
 import multidict
 
-import basaltport.proxy.memory as memory
-import basaltport.proxy.pieces as pieces
-import basaltport.proxy.table as table
+import basaltport.proxy.memory_limit as memory_limit
+import basaltport.proxy.response_stream as response_stream
+import basaltport.proxy.routing as routing
 import basaltport.proxy.upstream as upstream
-import basaltport.proxy.words as words
+import basaltport.proxy.header_names as header_names
 
 MS = 1000
 LEAST_RETRY_S = 0.01
@@ -38,9 +38,9 @@
         self,
         request: aiohttp.web.BaseRequest,
         body: bytes,
-        header_names: words.Words,
+        header_names: header_names.Words,
         closing: collections.abc.Callable[[], bool],
-        claim: memory.Claim,
+        claim: memory_limit.Claim,
     ) -> None:
         """`closing`: whether answers now end their connections; `claim`: what its answers hold in memory."""
         self.request = request
@@ -58,13 +58,13 @@
         self.begun = False
         self.streams = False
         self.resumable = False
-        self.pieces: pieces.Pieces | None = None
+        self.pieces: response_stream.Pieces | None = None
 
-    def route(self, route: table.Route) -> None:
+    def route(self, route: routing.Route) -> None:
         """The request's route is known."""
         self.streams = route.kind == "stream"
         self.resumable = route.resumable
-        self.pieces = pieces.Pieces(whole=route.resumable)
+        self.pieces = response_stream.Pieces(whole=route.resumable)
 
     def set(self, reply: aiohttp.web.StreamResponse) -> None:
         """The answer's end; only the first counts."""
@@ -106,7 +106,7 @@
         """The whole answer of a replica."""
         self.set(self.made(status, heads, raw))
 
-    def stream(self) -> pieces.Pieces:
+    def stream(self) -> response_stream.Pieces:
         """The stream's events, once the route is known."""
         assert self.pieces is not None
         return self.pieces
--- a/basaltport/proxy/decision.py
+++ b/basaltport/proxy/retry_decision.py
@@ -3,9 +3,9 @@
 import dataclasses
 import enum
 
-import basaltport.proxy.outcomes as outcomes
+import basaltport.proxy.attempt_outcome as attempt_outcome
 
-Outcome = outcomes.Outcome
+Outcome = attempt_outcome.Outcome
 SERVER_ERROR = 500
 PROMISES = frozenset({408, 421, 429, 503})
 """Statuses by which a client is told that its request has not run and never will."""
--- a/basaltport/proxy/table.py
+++ b/basaltport/proxy/routing.py
@@ -7,7 +7,7 @@
 import typing
 
 import basaltport.identifiers as identifiers
-import basaltport.proxy.decision as decision
+import basaltport.proxy.retry_decision as retry_decision
 
 
 Document = collections.abc.Mapping[str, typing.Any]
@@ -53,12 +53,12 @@
 
     def repeatable(self) -> bool:
         """Whether a request may run more than once."""
-        return self.repeats is not decision.Repeats.NEVER
+        return self.repeats is not retry_decision.Repeats.NEVER
 
-    def _repeats(self) -> decision.Repeats:
+    def _repeats(self) -> retry_decision.Repeats:
         if self.resumable:
-            return decision.Repeats.RESUMED
-        return decision.Repeats.ALWAYS if self.kind == "safe" else decision.Repeats.NEVER
+            return retry_decision.Repeats.RESUMED
+        return retry_decision.Repeats.ALWAYS if self.kind == "safe" else retry_decision.Repeats.NEVER
 
     def service(self, draw: float) -> str:
         """The service for a draw in [0, 1), by weight."""
--- a/basaltport/proxy/shell.py
+++ b/basaltport/proxy/server.py
@@ -19,16 +19,16 @@
 import basaltport.identifiers as identifiers
 import basaltport.logs as logs
 import basaltport.member as member
-import basaltport.proxy.answer as answer
-import basaltport.proxy.clients as clients
-import basaltport.proxy.delivery as delivery
+import basaltport.proxy.response as response
+import basaltport.proxy.client_connections as client_connections
+import basaltport.proxy.response_delivery as response_delivery
 import basaltport.proxy.events as events
-import basaltport.proxy.intake as intake
-import basaltport.proxy.memory as memory
-import basaltport.proxy.outcomes as outcomes
-import basaltport.proxy.role as role
+import basaltport.proxy.request_body as request_body
+import basaltport.proxy.memory_limit as memory_limit
+import basaltport.proxy.attempt_outcome as attempt_outcome
+import basaltport.proxy.node as node
 import basaltport.proxy.upstream as upstream
-import basaltport.proxy.words as words
+import basaltport.proxy.header_names as header_names
 import basaltport.wires as wires
 
 TICK_S = 0.05
@@ -60,7 +60,7 @@
     return min(int(raw), top)
 
 
-class RelayShell:
+class ProxyServer:
     """A proxy as a process: what its reducer decides is done on sockets."""
 
     end: asyncio.Event
@@ -69,24 +69,26 @@
     listener: asyncio.Server
     prober: asyncio.Server
 
-    def __init__(self, settings: Settings, header_names: words.Words, reload: Reload | None = None) -> None:
+    def __init__(
+        self, settings: Settings, header_names: header_names.Words, reload: Reload | None = None
+    ) -> None:
         """`reload`: called on SIGHUP and when no keeper was heard of for a while; gives seeds or None."""
         self.settings = settings
         self.words = header_names
         self.reload = reload
         self.stopping = False
         self.n = 0
-        self.sinks: dict[int, answer.Sink] = {}
+        self.sinks: dict[int, response.Sink] = {}
         self.tasks: dict[int, asyncio.Task[None]] = {}
-        self.rest_limit = clients.RestLimit()
+        self.rest_limit = client_connections.RestLimit()
         seed = random.SystemRandom().getrandbits(64)
         zones = len(settings.get("zones") or ()) or 1
         me = identity(settings)
-        self.member = role.Relay(me, seed, identifiers.steady(), settings.get("timings"), zones)
+        self.member = node.ProxyNode(me, seed, identifiers.steady(), settings.get("timings"), zones)
         self.pages = pages.Pages(self, "proxy")
         self.upstream = upstream.Upstream(header_names)
-        self.bodies = memory.room_of(settings)
-        self.answers = memory.room_of(settings)
+        self.bodies = memory_limit.room_of(settings)
+        self.answers = memory_limit.room_of(settings)
         self.wires = wires.Wires(settings["address"], self.heard, refused_peer)
 
     def reseed(self, seeds: collections.abc.Sequence[str]) -> None:
@@ -120,7 +122,7 @@
             request_factory=self.request,
             handler_cancellation=True,
             access_log=None,
-            keepalive_timeout=clients.LIBRARY_LIMIT_S,
+            keepalive_timeout=client_connections.LIBRARY_LIMIT_S,
             max_line_size=upstream.LINE_BYTES,
             max_field_size=upstream.FIELD_BYTES,
             auto_decompress=False,
@@ -169,7 +171,7 @@
         """
         busy = 0
         for connection in self.server.connections:
-            if clients.at_rest(connection):
+            if client_connections.at_rest(connection):
                 connection.force_close()
             else:
                 busy += 1
@@ -180,7 +182,9 @@
         limit_s = self.rest_limit.seconds(self.member.table.limits)
         now_s = asyncio.get_running_loop().time()
         for connection in self.server.connections:
-            if clients.rested_s(connection, now_s) >= limit_s and clients.at_rest(connection):
+            if client_connections.rested_s(connection, now_s) >= limit_s and client_connections.at_rest(
+                connection
+            ):
                 connection.force_close()
 
     async def tick(self) -> None:
@@ -210,7 +214,7 @@
         self,
         message: aiohttp.http.RawRequestMessage,
         payload: aiohttp.StreamReader,
-        protocol: clients.Connection,
+        protocol: client_connections.Connection,
         writer: aiohttp.abc.AbstractStreamWriter,
         task: "asyncio.Task[None]",
     ) -> aiohttp.web.BaseRequest:
@@ -229,8 +233,8 @@
 
     async def serve(self, request: aiohttp.web.BaseRequest) -> aiohttp.web.StreamResponse:
         """A client's request, from its head to its answer's last byte, with what it holds in memory."""
-        body = memory.Claim(self.bodies)
-        answered = memory.Claim(self.answers)
+        body = memory_limit.Claim(self.bodies)
+        answered = memory_limit.Claim(self.answers)
         try:
             return await self.served(request, body, answered)
         finally:
@@ -238,26 +242,29 @@
             answered.free()
 
     async def served(
-        self, request: aiohttp.web.BaseRequest, body_claim: memory.Claim, answer_claim: memory.Claim
+        self,
+        request: aiohttp.web.BaseRequest,
+        body_claim: memory_limit.Claim,
+        answer_claim: memory_limit.Claim,
     ) -> aiohttp.web.StreamResponse:
         """The same, with the claims that it may use."""
         deadline = number(request.headers.get(self.words.deadline))
-        until = identifiers.steady() + (deadline if deadline >= 0 else intake.LONGEST_MS)
+        until = identifiers.steady() + (deadline if deadline >= 0 else request_body.LONGEST_MS)
         limit = self.member.table.limits.get("body_bytes") or BODY_BYTES
         try:
-            body = await intake.read(request, limit, deadline, body_claim)
-        except intake.RefusedError as refused:
+            body = await request_body.read(request, limit, deadline, body_claim)
+        except request_body.RefusedError as refused:
             body_claim.free()
             return self.unread(request, refused.reason)
         if not request.raw_path.startswith("/"):
             return aiohttp.web.Response(status=BAD_REQUEST)
         self.n += 1
         request_id = self.n
-        sink = answer.Sink(request, body, self.words, lambda: self.stopping, answer_claim)
+        sink = response.Sink(request, body, self.words, lambda: self.stopping, answer_claim)
         self.sinks[request_id] = sink
         try:
             self.step(self.arrived(request_id, request, deadline))
-            return await delivery.deliver(request, await sink.done, until - identifiers.steady())
+            return await response_delivery.deliver(request, await sink.done, until - identifiers.steady())
         except asyncio.CancelledError:
             self.step(events.Left(identifiers.steady(), request_id))
             raise
@@ -279,14 +286,18 @@
             heads.get(names.prefix, "").rpartition(",")[0],
         )
 
-    def unread(self, request: aiohttp.web.BaseRequest, reason: intake.Reason) -> aiohttp.web.StreamResponse:
+    def unread(
+        self, request: aiohttp.web.BaseRequest, reason: request_body.Reason
+    ) -> aiohttp.web.StreamResponse:
         """Our own answer where a body was not read: nothing ran, nor will."""
-        if reason is not intake.Reason.NO_ROOM:
+        if reason is not request_body.Reason.NO_ROOM:
             return aiohttp.web.Response(status=reason.value)
         tally = self.member.tally
         tally["no-room"] = tally.get("no-room", 0) + 1
-        sink = answer.Sink(request, b"", self.words, lambda: self.stopping, memory.Claim(self.answers))
-        sink.close(reason.value, "no room for the body", role.COME_BACK)
+        sink = response.Sink(
+            request, b"", self.words, lambda: self.stopping, memory_limit.Claim(self.answers)
+        )
+        sink.close(reason.value, "no room for the body", node.COME_BACK)
         return sink.done.result()
 
     # effects
@@ -336,7 +347,7 @@
         """Tells the end of an attempt none of which ran: a task that is stopped before its first step runs
         nothing, its `finally` neither."""
         self.tasks.pop(attempt, None)
-        result = outcomes.Result(outcomes.Outcome.UNSENT, 0, "stopped")
+        result = attempt_outcome.Result(attempt_outcome.Outcome.UNSENT, 0, "stopped")
         asyncio.get_running_loop().call_soon(self.step, events.Ended(identifiers.steady(), attempt, result))
 
     def do_attempt(self, effect: events.Attempt) -> None:
@@ -350,7 +361,7 @@
         task = asyncio.get_running_loop().create_task(self.attempt(effect, sink))
         self.tasks[effect.attempt] = task
 
-    async def attempt(self, effect: events.Attempt, sink: answer.Sink) -> None:
+    async def attempt(self, effect: events.Attempt, sink: response.Sink) -> None:
         """One attempt, and what the reducer is told of its end."""
         result = None
         try:
@@ -359,8 +370,8 @@
             step_failed(error)
         finally:
             if result is None:
-                outcome = outcomes.Outcome.CUT if sink.begun else outcomes.Outcome.BROKEN
-                result = outcomes.Result(outcome, 0, "fault")
+                outcome = attempt_outcome.Outcome.CUT if sink.begun else attempt_outcome.Outcome.BROKEN
+                result = attempt_outcome.Result(outcome, 0, "fault")
             self.tasks.pop(effect.attempt, None)
             self.step(events.Ended(identifiers.steady(), effect.attempt, result))
 
--- a/basaltport/proxy/view.py
+++ b/basaltport/proxy/status_pages.py
@@ -12,10 +12,10 @@
 import basaltport.identifiers as identifiers
 import basaltport.proxy.events as events
 import basaltport.proxy.health as health
-import basaltport.proxy.needs as needs
+import basaltport.proxy.interfaces as interfaces
 import basaltport.proxy.request as request
-import basaltport.proxy.role as role
-import basaltport.proxy.table as table
+import basaltport.proxy.node as node
+import basaltport.proxy.routing as routing
 
 Doc = dict[str, typing.Any]
 Sample = tuple[str, str, str, tuple[str, ...], collections.abc.Sequence[tuple[tuple[str, ...], float]]]
@@ -24,7 +24,7 @@
 SCORE_DIGITS = 3
 
 
-def queue(relay: role.Relay, now: identifiers.Millis) -> list[Doc]:
+def queue(relay: node.ProxyNode, now: identifiers.Millis) -> list[Doc]:
     """Waiting requests by service and item, the longest wait first."""
     waits: dict[tuple[str, str], list[int]] = {}
     for waiting in relay.waiting.values():
@@ -36,7 +36,7 @@
     return sorted(rows, key=lambda row: -row["oldest_ms"])
 
 
-def retries(relay: role.Relay, now: identifiers.Millis) -> dict[str, dict[str, int]]:
+def retries(relay: node.ProxyNode, now: identifiers.Millis) -> dict[str, dict[str, int]]:
     """By service: further attempts in the window, and how many more there may be."""
     out = {}
     for service, window in relay.retries.items():
@@ -45,7 +45,7 @@
     return out
 
 
-def replica(relay: role.Relay, now: identifiers.Millis, replica_id: str) -> Doc:
+def replica(relay: node.ProxyNode, now: identifiers.Millis, replica_id: str) -> Doc:
     """A replica as this proxy sees it."""
     row, known = relay.rows[replica_id], relay.health.get(replica_id)
     doc = {"id": replica_id, "service": row["service"], "zone": row["zone"], "state": row["state"]}
@@ -57,7 +57,7 @@
     return {**doc, "state": "moved"} if known.dead else doc
 
 
-def status(relay: role.Relay, now: identifiers.Millis) -> Doc:
+def status(relay: node.ProxyNode, now: identifiers.Millis) -> Doc:
     """The page of a proxy."""
     me, heard = relay.me, relay.led_at > 0
     return {
@@ -85,7 +85,7 @@
 # what would become of a request
 
 
-def apart(relay: role.Relay, now: identifiers.Millis) -> role.Relay:
+def apart(relay: node.ProxyNode, now: identifiers.Millis) -> node.ProxyNode:
     """A copy whose steps leave the original, its counts and its chance as they are."""
     out = copy.copy(relay)
     out.now, out.rng, out.out = now, random.Random(0), []
@@ -105,7 +105,7 @@
 
 
 def explain(
-    relay: role.Relay,
+    relay: node.ProxyNode,
     now: identifiers.Millis,
     host: str,
     path: str,
@@ -120,20 +120,20 @@
     if route is None:
         empty = relay.table.empty
         doc["outcome"] = "refused" if empty else "no route"
-        return {**doc, "status": role.REFUSED if empty else role.NO_ROUTE, "route": None, "outcomes": []}
+        return {**doc, "status": node.REFUSED if empty else node.NO_ROUTE, "route": None, "outcomes": []}
     arrived = events.Arrived(now, 0, host, path, identifiers.Item(item), deadline, tokens, "")
     outcomes = [outcome(apart(relay, now), route, arrived, *share) for share in parts(route)]
     return {**doc, "route": described(route), "outcomes": outcomes}
 
 
-def described(route: table.Route) -> Doc:
+def described(route: routing.Route) -> Doc:
     """A route as operators know it."""
     names = ("name", "prefix", "kind", "urgency", "attempts", "pinned")
     doc = {name: getattr(route, name) for name in names}
     return {**doc, "deadline_ms": int(route.deadline), "target_ms": int(route.target)}
 
 
-def parts(route: table.Route) -> collections.abc.Iterator[tuple[str, float]]:
+def parts(route: routing.Route) -> collections.abc.Iterator[tuple[str, float]]:
     """A route's services, each with its part of the draw."""
     names, sums = route.shares
     before = 0
@@ -142,7 +142,9 @@
         before = total
 
 
-def outcome(relay: role.Relay, route: table.Route, arrived: events.Arrived, service: str, part: float) -> Doc:
+def outcome(
+    relay: node.ProxyNode, route: routing.Route, arrived: events.Arrived, service: str, part: float
+) -> Doc:
     """What would become of a request that goes to a service. `relay` is a copy that may be changed."""
     asked = request.Request(0, route, arrived)
     asked.service = service
@@ -151,7 +153,7 @@
     doc = {"service": service, "part": part, "item": asked.item, "ahead": ahead}
     doc["candidates"] = candidates(relay, asked)
     if refusal is not None:
-        refused = {"outcome": "refused", "status": role.REFUSED, "why": refusal.why}
+        refused = {"outcome": "refused", "status": node.REFUSED, "why": refusal.why}
         return {**doc, **refused, "retry_after_ms": refusal.retry_after}
     picked = relay.pick(asked)
     if picked is not None:
@@ -164,18 +166,18 @@
     return {**doc, "fact": fact.state if fact else "", "expected_ms": expected_ms}
 
 
-def admit(relay: role.Relay, asked: request.Request, arrived: events.Arrived) -> role.Refusal | None:
+def admit(relay: node.ProxyNode, asked: request.Request, arrived: events.Arrived) -> node.Refusal | None:
     """The program of its route, with the service that is given."""
     for step in asked.route.program:
         if step == "share":
             continue
-        refusal: role.Refusal | None = getattr(relay, "do_" + step)(asked, arrived)
+        refusal: node.Refusal | None = getattr(relay, "do_" + step)(asked, arrived)
         if refusal is not None:
             return refusal
     return None
 
 
-def candidates(relay: role.Relay, asked: request.Request) -> list[Doc]:
+def candidates(relay: node.ProxyNode, asked: request.Request) -> list[Doc]:
     """The replicas of a request's service, the best first, and why each may not be used."""
     out = []
     for replica_id, row in sorted(relay.rows.items()):
@@ -187,7 +189,7 @@
     return sorted(out, key=lambda c: (c["score"] is None, c["score"] or 0, c["verdict"], c["replica"]))
 
 
-def verdict(relay: role.Relay, asked: request.Request, replica_id: str, row: needs.Row) -> str:
+def verdict(relay: node.ProxyNode, asked: request.Request, replica_id: str, row: interfaces.Row) -> str:
     """Whether a request may go to a replica now, or why not."""
     if replica_id not in relay.holders(asked.service, asked.item):
         return "loads it" if asked.item in row.get("loading", ()) else "does not hold it"
@@ -198,7 +200,9 @@
     return verdict_of_health(relay, asked, replica_id, row)
 
 
-def verdict_of_health(relay: role.Relay, asked: request.Request, replica_id: str, row: needs.Row) -> str:
+def verdict_of_health(
+    relay: node.ProxyNode, asked: request.Request, replica_id: str, row: interfaces.Row
+) -> str:
     """The same for a replica that is open by the feed."""
     now, known = relay.now, relay.health_of(replica_id)
     if known.dead:
@@ -222,7 +226,7 @@
     return f"basaltport_{name}", "gauge", text, (), [((), value)]
 
 
-def samples(relay: role.Relay, now: identifiers.Millis) -> collections.abc.Iterator[Sample]:
+def samples(relay: node.ProxyNode, now: identifiers.Millis) -> collections.abc.Iterator[Sample]:
     """As of keeper.view."""
     yield gauge("ready", "1 where this proxy takes clients", int(relay.ready()))
     yield gauge("led", "1 where a leader is heard", int(follow.FollowMixin.led(relay)))
--- a/basaltport/proxy/upstream.py
+++ b/basaltport/proxy/upstream.py
@@ -8,16 +8,16 @@
 import multidict
 import yarl
 
-import basaltport.proxy.connections as connections
-import basaltport.proxy.decision as decision
+import basaltport.proxy.upstream_pool as upstream_pool
+import basaltport.proxy.retry_decision as retry_decision
 import basaltport.proxy.events as events
-import basaltport.proxy.memory as memory
-import basaltport.proxy.outcomes as outcomes
-import basaltport.proxy.words as words
+import basaltport.proxy.memory_limit as memory_limit
+import basaltport.proxy.attempt_outcome as attempt_outcome
+import basaltport.proxy.header_names as header_names
 import basaltport.replica_client.adapter as adapter
 
-Outcome = outcomes.Outcome
-Result = outcomes.Result
+Outcome = attempt_outcome.Outcome
+Result = attempt_outcome.Result
 
 HOP = {
     "connection",
@@ -83,7 +83,7 @@
     body: bytes
     heads: multidict.CIMultiDict[str]
     request_id: str | None
-    claim: memory.Claim
+    claim: memory_limit.Claim
     streams: bool
     begun: bool
 
@@ -119,17 +119,17 @@
     """Attempts at replicas, each on a connection of its own for as long as it lasts."""
 
     session: aiohttp.ClientSession
-    connector: connections.Connector
+    connector: upstream_pool.Connector
 
-    def __init__(self, header_names: words.Words) -> None:
+    def __init__(self, header_names: header_names.Words) -> None:
         """`header_names`: those that replicas know."""
         self.words = header_names
-        self.needs: dict[int, connections.Need] = {}
+        self.needs: dict[int, upstream_pool.Need] = {}
         self.written: set[int] = set()
 
     async def start(self) -> None:
         """Ready for attempts."""
-        self.connector = connections.Connector(self.got, self.need_of)
+        self.connector = upstream_pool.Connector(self.got, self.need_of)
         self.session = adapter.once_session(
             connector=self.connector,
             auto_decompress=False,
@@ -145,11 +145,11 @@
         """Ends all connections."""
         await self.session.close()
 
-    def need_of(self, request: connections.Request) -> connections.Need:
+    def need_of(self, request: upstream_pool.Request) -> upstream_pool.Need:
         """What the attempt of a library's request needs of its connection."""
         return self.needs[int(request.headers[MARK])]
 
-    def got(self, request: connections.Request) -> None:
+    def got(self, request: upstream_pool.Request) -> None:
         """A request has its connection: from here on it counts as sent."""
         self.written.add(int(request.headers.pop(MARK)))
 
@@ -168,7 +168,7 @@
 
     async def run(self, attempt: events.Attempt, sink: Sink, progress: Progress) -> Result:
         """One attempt, to its end."""
-        self.needs[attempt.attempt] = connections.Need(sink.request_id, not attempt.repeatable)
+        self.needs[attempt.attempt] = upstream_pool.Need(sink.request_id, not attempt.repeatable)
         try:
             async with asyncio.timeout(attempt.left / MS):
                 return await self.once(attempt, sink, progress)
@@ -214,7 +214,7 @@
     def hear_limit(self, attempt: int, response: aiohttp.ClientResponse) -> None:
         """The replica's word on how long it keeps the connection. An answer that came whole with its head has
         given its connection back by now, so it is asked of the attempt."""
-        stated_s = connections.seconds(response.headers.get("Keep-Alive"))
+        stated_s = upstream_pool.seconds(response.headers.get("Keep-Alive"))
         protocol = self.needs[attempt].protocol
         if stated_s is not None and protocol is not None:
             protocol.keep_s = stated_s
@@ -253,7 +253,7 @@
         """An answer that is passed on, or kept, once it is whole."""
         raw = await self.whole(response, sink)
         status, heads = response.status, end_to_end(response.headers)
-        if status >= decision.SERVER_ERROR or status in decision.PROMISES:
+        if status >= retry_decision.SERVER_ERROR or status in retry_decision.PROMISES:
             sink.keep(attempt.attempt, status, heads, raw)
             return Result(Outcome.FAILED, status)
         if sink.begun:
@@ -275,7 +275,9 @@
             sink.claim.give(sink.claim.size - before)
             raise
 
-    async def gathered(self, response: aiohttp.ClientResponse, claim: memory.Claim, stated: int) -> bytes:
+    async def gathered(
+        self, response: aiohttp.ClientResponse, claim: memory_limit.Claim, stated: int
+    ) -> bytes:
         """The whole body; `stated` bytes of it have their room."""
         raw = bytearray()
         async for part in response.content.iter_any():
--- a/basaltport/scale/part.py
+++ b/basaltport/scale/part.py
@@ -9,8 +9,8 @@
 
 import basaltport.controller.shell as keeper
 import basaltport.identifiers as identifiers
-import basaltport.proxy.shell as relay
-import basaltport.proxy.words as words
+import basaltport.proxy.server as server
+import basaltport.proxy.header_names as header_names
 import basaltport.scale.count as count
 import basaltport.scale.hollow as hollow
 import basaltport.scale.size as size_
@@ -124,7 +124,7 @@
 class ProxyPart(Followers):
     def __init__(self, conf):
         self.mark = hollow.Marks()
-        self.shell = relay.RelayShell(conf["settings"], words.Words())
+        self.shell = server.ProxyServer(conf["settings"], header_names.Words())
         step = self.shell.wires.heard
 
         def heard(src, msg):
--- a/basaltport/simulation/world/fleetworld.py
+++ b/basaltport/simulation/world/fleetworld.py
@@ -8,7 +8,7 @@
 import basaltport.simulation.routes.nodes as routenodes
 import basaltport.simulation.routes.operator as routeoperator
 import basaltport.simulation.routes.replicas as routereplicas
-import basaltport.proxy.role as relay
+import basaltport.proxy.node as node
 
 LOOK = 50
 TIMINGS = {
@@ -98,7 +98,7 @@
         return machine.Placement(random.Random(self.rng.getrandbits(32)))
 
     def proxy_of(self, me, seed):
-        return relay.Relay(me, seed, self.now, self.timings, len(self.zones))
+        return node.ProxyNode(me, seed, self.now, self.timings, len(self.zones))
 
     def proxies(self):
         return [n for n in self.nodes.values() if n.name[0] == "p"]
--- a/tests/relay_stand.py
+++ b/tests/proxy_stand.py
@@ -3,10 +3,10 @@
 import asyncio
 
 import basaltport.identifiers as identifiers
-import basaltport.proxy.shell as shell
-import basaltport.proxy.words as words
+import basaltport.proxy.server as server
+import basaltport.proxy.header_names as header_names
 
-W = words.Words()
+W = header_names.Words()
 BOUND = 20
 
 
@@ -154,7 +154,7 @@
             "timings": self.timings,
             **self.settings,
         }
-        self.shell = shell.RelayShell(s, W)
+        self.shell = server.ProxyServer(s, W)
         self.task = asyncio.get_running_loop().create_task(self.shell.run())
         async with asyncio.timeout(BOUND):
             while not hasattr(self.shell, "prober"):
--- a/tests/request_world.py
+++ b/tests/request_world.py
@@ -7,13 +7,13 @@
 import basaltport.events as base
 import basaltport.identifiers as identifiers
 import basaltport.member as member
-import basaltport.proxy.decision as decision
+import basaltport.proxy.retry_decision as retry_decision
 import basaltport.proxy.events as events
-import basaltport.proxy.outcomes as outcomes
-import basaltport.proxy.role as role
-import tests.relay_stand as stand
+import basaltport.proxy.attempt_outcome as attempt_outcome
+import basaltport.proxy.node as node
+import tests.proxy_stand as stand
 
-Outcome = outcomes.Outcome
+Outcome = attempt_outcome.Outcome
 START_MS = 1_000_000
 STEP_MS = 50
 LONG_MS = 60_000
@@ -93,10 +93,10 @@
             self.broken = True
             raise Broken(f"{rule}: {detail}")
 
-    def proxy(self) -> role.Relay:
+    def proxy(self) -> node.ProxyNode:
         self.lives += 1
         me = member.Me("h", f"p{self.lives}", f"p{self.lives}-s", "proxy", "z0", "127.0.0.1:1", "", [], 0)
-        relay = role.Relay(me, self.lives, identifiers.Millis(self.now_ms), TIMINGS, 2)
+        relay = node.ProxyNode(me, self.lives, identifiers.Millis(self.now_ms), TIMINGS, 2)
         relay.want = lambda items: None
         relay.out = []
         stand.fill(relay, self.rows(), self.document)
@@ -144,13 +144,13 @@
             case events.Pass():
                 status = self.passed.get((proxy, effect.attempt))
                 self.must(status is not None, "a failure that is passed on was told whole", effect)
-                bare = status in decision.PROMISES and not repeatable
+                bare = status in retry_decision.PROMISES and not repeatable
                 self.must(
                     not bare, "a replica's bare promise is not passed on for what must not run again", effect
                 )
             case events.Close():
                 self.must(not ask.begun, "no word of our own into an answer that has begun", effect)
-                ran = effect.status in decision.PROMISES and ask.may_have_run
+                ran = effect.status in retry_decision.PROMISES and ask.may_have_run
                 self.must(not ran, "what is refused never ran", (ask, effect))
                 flying = [f for f in self.flights.values() if f.ask is ask and not f.aborted]
                 self.must(not flying, "what is refused never will run", (ask, effect))
@@ -193,7 +193,7 @@
         if outcome is Outcome.DONE and ask.told is None:
             ask.told = "its answer"
         resumes = outcome is Outcome.CUT and ask.route == "stream"
-        result = outcomes.Result(outcome, status, "", resumes)
+        result = attempt_outcome.Result(outcome, status, "", resumes)
         self.step(flight.proxy, events.Ended(identifiers.Millis(self.now_ms), flight.effect.attempt, result))
 
     def note_arrival(self, flight: Flight, outcome: Outcome) -> None:
--- a/tests/test_decision.py
+++ b/tests/test_decision.py
@@ -6,10 +6,15 @@
 
 import pytest
 
-import basaltport.proxy.decision as decision
-import basaltport.proxy.outcomes as outcomes
-
-Known, Move, Outcome, Repeats = decision.Known, decision.Move, outcomes.Outcome, decision.Repeats
+import basaltport.proxy.retry_decision as retry_decision
+import basaltport.proxy.attempt_outcome as attempt_outcome
+
+Known, Move, Outcome, Repeats = (
+    retry_decision.Known,
+    retry_decision.Move,
+    attempt_outcome.Outcome,
+    retry_decision.Repeats,
+)
 STATUSES = (0, 200, 404, 408, 421, 429, 500, 503, 504)
 FLAGS = ("joins", "begun", "ran", "arrived", "budget", "replicas", "sends", "time")
 PROMISED = (408, 421, 429, 503)
@@ -133,19 +138,19 @@
 
 @pytest.mark.parametrize("rule", RULES, ids=lambda f: f.__name__)
 def test_no_decision_breaks_a_rule(rule):
-    bad = [k for k in ALL if not rule(k, decision.decide(k))]
+    bad = [k for k in ALL if not rule(k, retry_decision.decide(k))]
     assert bad[:3] == []
 
 
 def test_more_room_never_leads_to_less():
     for known in ALL:
-        if decision.decide(known) not in AGAIN:
+        if retry_decision.decide(known) not in AGAIN:
             continue
         for flag in ("budget", "replicas", "sends", "time"):
-            assert decision.decide(dataclasses.replace(known, **{flag: True})) in AGAIN
+            assert retry_decision.decide(dataclasses.replace(known, **{flag: True})) in AGAIN
 
 
-_affordable, _proven_safe = decision.affordable, decision.proven_safe
+_affordable, _proven_safe = retry_decision.affordable, retry_decision.proven_safe
 
 
 def _with(function, **known):
@@ -157,7 +162,7 @@
 
 
 def _answers_anew(known):
-    return decision.give_up(False, known.ran)
+    return retry_decision.give_up(False, known.ran)
 
 
 def _cuts_all(known):
@@ -190,5 +195,5 @@
     "rule, name, broken", MUTATIONS, ids=[f"{RULES[r].__name__}-{n}" for r, n, _ in MUTATIONS]
 )
 def test_each_check_finds_its_fault(monkeypatch, rule, name, broken):
-    monkeypatch.setattr(decision, name, broken)
-    assert any(not RULES[rule](k, decision.decide(k)) for k in ALL)
+    monkeypatch.setattr(retry_decision, name, broken)
+    assert any(not RULES[rule](k, retry_decision.decide(k)) for k in ALL)
--- a/tests/test_mutations.py
+++ b/tests/test_mutations.py
@@ -9,7 +9,7 @@
 import basaltport.consensus.feed as feed
 import basaltport.consensus.lead as lead
 import basaltport.consensus.seat as seat
-import basaltport.cold_start.routine as routine
+import basaltport.query_api.query_proxy.model_readiness as model_readiness
 import basaltport.simulation.standins.backend as backend
 import basaltport.simulation.scenarios.scenarios as scenarios
 import basaltport.query_api.query_proxy.claims as claims
@@ -129,9 +129,9 @@
 
 LEAD = lead.LeadMixin
 CASES = [
-    ("once-only", "replicas-sick", 1, [(routine.ReadinessMixin, "resend", _resend_all)]),
+    ("once-only", "replicas-sick", 1, [(model_readiness.ReadinessMixin, "resend", _resend_all)]),
     ("refusal", "replicas-sick", 1, [(dispatch.DispatchMixin, "was_broken", _broken_is_refused)]),
-    ("final-word", "replicas-dark", 1, [(routine.ReadinessMixin, "timed_out", _ask_first)]),
+    ("final-word", "replicas-dark", 1, [(model_readiness.ReadinessMixin, "timed_out", _ask_first)]),
     (
         "final-word",
         "replicas-sick",
--- a/tests/test_relay.py
+++ b/tests/test_proxy.py
@@ -5,13 +5,13 @@
 import basaltport.events as base
 import basaltport.identifiers as identifiers
 import basaltport.member as member
-import basaltport.proxy.budget as budget
+import basaltport.proxy.retry_budget as retry_budget
 import basaltport.proxy.events as events
-import basaltport.proxy.outcomes as outcomes
-import basaltport.proxy.pieces as pieces
-import basaltport.proxy.role as role
-import basaltport.proxy.table as table
-import tests.relay_stand as stand
+import basaltport.proxy.attempt_outcome as attempt_outcome
+import basaltport.proxy.response_stream as response_stream
+import basaltport.proxy.node as node
+import basaltport.proxy.routing as routing
+import tests.proxy_stand as stand
 
 
 class Sim:
@@ -20,7 +20,7 @@
     def __init__(self, rows, doc=None, timings=None, proxies=1):
         me = member.Me("h", "p1", "p1-s", "proxy", "z1", "127.0.0.1:1", "", [], 0)
         self.now = 100_000
-        self.m = role.Relay(me, 7, self.now, timings, 2)
+        self.m = node.ProxyNode(me, 7, self.now, timings, 2)
         self.m.born = identifiers.Millis(0)
         self.out = []
         self.n = 0
@@ -43,7 +43,9 @@
         return self.step(ev)
 
     def end(self, attempt, outcome, **kw):
-        return self.step(events.Ended(self.now, attempt, outcomes.Result(outcomes.Outcome(outcome), **kw)))
+        return self.step(
+            events.Ended(self.now, attempt, attempt_outcome.Result(attempt_outcome.Outcome(outcome), **kw))
+        )
 
     def wait(self, ms):
         got = []
@@ -167,7 +169,7 @@
 
 
 def test_the_slack_is_not_used_anew_after_a_start():
-    w = budget.Retries(0, 0.2, 10_000, 40)
+    w = retry_budget.Retries(0, 0.2, 10_000, 40)
     assert not w.room(5000, 1)
     assert w.room(10_000, 1)
 
@@ -186,7 +188,7 @@
     for nodes in (1, 3, 9, 40, 85, 340):
         names = [f"p{i}" for i in range(nodes)]
         for r in range(30):
-            assert sum(budget.Cold.share(51, nodes, n, f"r{r}") for n in names) <= 51
+            assert sum(retry_budget.Cold.share(51, nodes, n, f"r{r}") for n in names) <= 51
 
 
 def test_a_silent_replica_is_left_and_what_may_be_repeated_goes_elsewhere():
@@ -257,7 +259,7 @@
 
 def test_what_is_held_for_the_feed_is_refused_when_the_process_ends():
     s = Sim([], {"edition": 1, "routes": [], "services": []})
-    s.m.table = table.Table(None)
+    s.m.table = routing.Table(None)
     s.ask("once")
     (got,) = s.step(events.Finish(s.now))
     assert (type(got), got.status) == (events.Close, 503) and not s.m.parked
@@ -318,7 +320,7 @@
     doc["routes"].append({**doc["routes"][0], "name": "deep", "prefix": "/safe/deep/"})
     del doc["routes"][0]["service"]
     doc["routes"][0]["shares"] = [{"service": "a", "weight": 0}, {"service": "b", "weight": 1}]
-    t = table.Table(doc)
+    t = routing.Table(doc)
     assert t.match("desk.example", "/safe/deep/x").name == "deep"
     assert t.match("DESK.example:80", "/safe/x").name == "safe"
     assert t.match("desk.example", "/safe") is None and t.match("else", "/safe/x") is None
@@ -328,7 +330,7 @@
 def test_events_are_passed_on_whole_however_bytes_come():
     raw = b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\ndata: c\n\n"
     for n in range(1, len(raw)):
-        p = pieces.Pieces()
+        p = response_stream.Pieces()
         out = b"".join(p.take(raw[i : i + n]) for i in range(0, len(raw), n))
         assert out + p.rest == raw and p.last == "3", n
 
@@ -347,7 +349,7 @@
     s = Sim([row("a")])
     doc, rows = s.m.book["manifest"], s.m.rows
     fresh = Sim([], {"edition": 1, "routes": [], "services": []})
-    fresh.m.table = table.Table(None)
+    fresh.m.table = routing.Table(None)
     assert fresh.ask("safe", deadline=3000) == [] and fresh.ask("once", deadline=900) == []
     got = fresh.wait(600)
     assert [(type(e), e.request, e.status) for e in got] == [(events.Close, 2, 503)]
--- a/tests/test_relay_connections.py
+++ b/tests/test_proxy_connections.py
@@ -6,13 +6,13 @@
 import pytest
 
 import basaltport.proxy.events as events
-import basaltport.proxy.memory as memory
-import basaltport.proxy.outcomes as outcomes
+import basaltport.proxy.memory_limit as memory_limit
+import basaltport.proxy.attempt_outcome as attempt_outcome
 import basaltport.proxy.upstream as upstream
-import tests.relay_stand as stand
+import tests.proxy_stand as stand
 
 W = stand.W
-Outcome = outcomes.Outcome
+Outcome = attempt_outcome.Outcome
 
 
 def run(coro):
@@ -27,7 +27,7 @@
 
     def __init__(self, request_id):
         self.request_id = request_id
-        self.claim = memory.Claim(memory.Room(memory.MIB))
+        self.claim = memory_limit.Claim(memory_limit.Room(memory_limit.MIB))
         self.heads = {W.request_id: request_id} if request_id else {}
 
     def resume(self):
--- a/tests/test_relay_faults.py
+++ b/tests/test_proxy_faults.py
@@ -6,10 +6,10 @@
 import pytest
 
 import basaltport.identifiers as identifiers
-import basaltport.proxy.answer as answer
+import basaltport.proxy.response as response
 import basaltport.proxy.events as events
-import tests.relay_stand as stand
-import tests.test_relay_wire as wire
+import tests.proxy_stand as stand
+import tests.test_proxy_wire as wire
 
 W = stand.W
 
@@ -40,7 +40,7 @@
     async def fault(self, status, heads):
         raise KeyError("fault")
 
-    monkeypatch.setattr(answer.Sink, "end", fault)
+    monkeypatch.setattr(response.Sink, "end", fault)
 
     async def go():
         async with stand.Front([stand.Replica("i-1", wire.stream(2))]) as f:
--- a/tests/test_relay_memory.py
+++ b/tests/test_proxy_memory.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-import basaltport.proxy.memory as memory
+import basaltport.proxy.memory_limit as memory_limit
 
 
 def test_a_claim_takes_no_more_than_there_is_and_gives_all_back():
-    room = memory.Room(10)
-    one, two = memory.Claim(room), memory.Claim(room)
+    room = memory_limit.Room(10)
+    one, two = memory_limit.Claim(room), memory_limit.Claim(room)
     assert one.add(6) and not two.add(5) and two.add(4) and not one.add(1)
     one.free()
     assert room.held == 4 and two.add(6)
@@ -20,7 +20,7 @@
 
 def test_who_waits_longest_is_served_first_and_a_small_one_does_not_pass_a_large_one():
     async def go():
-        room = memory.Room(10)
+        room = memory_limit.Room(10)
         room.take(8)
         order = []
 
@@ -41,7 +41,7 @@
 @pytest.mark.parametrize("granted", [False, True])
 def test_who_stops_waiting_keeps_nothing(granted):
     async def go():
-        room = memory.Room(10)
+        room = memory_limit.Room(10)
         room.take(10)
         task = asyncio.create_task(room.wait(5))
         await asyncio.sleep(0)
@@ -57,5 +57,8 @@
 
 
 def test_a_room_is_a_part_of_the_machine_s_memory():
-    assert memory.room_of({"limits": {"memory_mb": 160}}).bound == 160 * memory.MIB // memory.SHARE
-    assert memory.room_of({}).bound == memory.ASSUMED_MB * memory.MIB // memory.SHARE
+    assert (
+        memory_limit.room_of({"limits": {"memory_mb": 160}}).bound
+        == 160 * memory_limit.MIB // memory_limit.SHARE
+    )
+    assert memory_limit.room_of({}).bound == memory_limit.ASSUMED_MB * memory_limit.MIB // memory_limit.SHARE
--- a/tests/test_relay_sequences.py
+++ b/tests/test_proxy_sequences.py
@@ -3,29 +3,29 @@
 
 import pytest
 
-import basaltport.proxy.decision as decision
+import basaltport.proxy.retry_decision as retry_decision
 import basaltport.proxy.events as events
-import basaltport.proxy.outcomes as outcomes
+import basaltport.proxy.attempt_outcome as attempt_outcome
 import basaltport.proxy.request as request
-import tests.test_relay as relay_tests
+import tests.test_proxy as proxy_tests
 
-Outcome = outcomes.Outcome
+Outcome = attempt_outcome.Outcome
 DEPTH = 4
 REPLICAS = 4
 RESULTS = [
-    outcomes.Result(Outcome.DONE, 200),
-    outcomes.Result(Outcome.REFUSED, 503),
-    outcomes.Result(Outcome.ABSENT, 421),
-    outcomes.Result(Outcome.MOVED, 421),
-    outcomes.Result(Outcome.UNSENT),
-    outcomes.Result(Outcome.FAILED, 500),
-    outcomes.Result(Outcome.FAILED, 503),
-    outcomes.Result(Outcome.FAILED, 404),
-    outcomes.Result(Outcome.BROKEN),
-    outcomes.Result(Outcome.CUT, resumes=True),
-    outcomes.Result(Outcome.CUT),
-    outcomes.Result(Outcome.LATE),
-    outcomes.Result(Outcome.GONE),
+    attempt_outcome.Result(Outcome.DONE, 200),
+    attempt_outcome.Result(Outcome.REFUSED, 503),
+    attempt_outcome.Result(Outcome.ABSENT, 421),
+    attempt_outcome.Result(Outcome.MOVED, 421),
+    attempt_outcome.Result(Outcome.UNSENT),
+    attempt_outcome.Result(Outcome.FAILED, 500),
+    attempt_outcome.Result(Outcome.FAILED, 503),
+    attempt_outcome.Result(Outcome.FAILED, 404),
+    attempt_outcome.Result(Outcome.BROKEN),
+    attempt_outcome.Result(Outcome.CUT, resumes=True),
+    attempt_outcome.Result(Outcome.CUT),
+    attempt_outcome.Result(Outcome.LATE),
+    attempt_outcome.Result(Outcome.GONE),
 ]
 ENDS = (events.Close, events.Pass, events.Cut)
 
@@ -34,8 +34,8 @@
     """One request whose attempts end one after the other as `results` say."""
 
     def __init__(self, route, results):
-        rows = [relay_tests.row(f"r{n}", f"z{n % 2 + 1}") for n in range(REPLICAS)]
-        self.sim = relay_tests.Sim(rows, timings={"retry_slack": 1000})
+        rows = [proxy_tests.row(f"r{n}", f"z{n % 2 + 1}") for n in range(REPLICAS)]
+        self.sim = proxy_tests.Sim(rows, timings={"retry_slack": 1000})
         self.sent = []
         self.ends = []
         self.take(self.sim.ask(route, deadline=3000))
@@ -83,9 +83,9 @@
         yield "what runs once was sent again"
     for end in played.ends:
         status = getattr(end, "status", 0)
-        if isinstance(end, events.Pass) and ended[-1].result.status in decision.PROMISES:
+        if isinstance(end, events.Pass) and ended[-1].result.status in retry_decision.PROMISES:
             status = ended[-1].result.status if not played.route.repeatable() else 0
-        if status in decision.PROMISES and ran:
+        if status in retry_decision.PROMISES and ran:
             yield "a promise for what may have run"
         if begun and not isinstance(end, events.Cut):
             yield "a second answer"
@@ -132,11 +132,19 @@
         (
             "what runs once was sent again",
             "once",
-            [(decision, n, _always) for n in ("proven_safe", "affordable")],
+            [(retry_decision, n, _always) for n in ("proven_safe", "affordable")],
+        ),
+        ("a promise for what may have run", "once", [(retry_decision, "passable", _always)]),
+        (
+            "a second answer",
+            "stream",
+            [(retry_decision, "give_up", lambda begun, ran: retry_decision.Move.PASS)],
+        ),
+        (
+            "not one end",
+            "safe",
+            [(retry_decision, "give_up", lambda begun, ran: retry_decision.Move.NOTHING)],
         ),
-        ("a promise for what may have run", "once", [(decision, "passable", _always)]),
-        ("a second answer", "stream", [(decision, "give_up", lambda begun, ran: decision.Move.PASS)]),
-        ("not one end", "safe", [(decision, "give_up", lambda begun, ran: decision.Move.NOTHING)]),
     ],
 )
 def test_each_finding_is_seen(monkeypatch, finding, route, breaks):
--- a/tests/test_request_bytes_machine.py
+++ b/tests/test_request_bytes_machine.py
@@ -5,10 +5,10 @@
 import hypothesis.strategies as strategies
 import pytest
 
-import basaltport.proxy.budget as budget
-import basaltport.proxy.decision as decision
+import basaltport.proxy.retry_budget as retry_budget
+import basaltport.proxy.retry_decision as retry_decision
 import basaltport.proxy.request as request
-import basaltport.proxy.role as role
+import basaltport.proxy.node as node
 import tests.request_world as request_world
 
 Happening = request_world.Happening
@@ -88,13 +88,16 @@
 
 
 BREAKS = [
-    ("runs at most once", [(decision, "proven_safe", lambda known: True)]),
-    ("what is refused never ran", [(decision, "give_up", lambda begun, ran: decision.Move.REFUSE)]),
-    ("bare promise is not passed on", [(decision, "passable", lambda known: True)]),
+    ("runs at most once", [(retry_decision, "proven_safe", lambda known: True)]),
+    (
+        "what is refused never ran",
+        [(retry_decision, "give_up", lambda begun, ran: retry_decision.Move.REFUSE)],
+    ),
+    ("bare promise is not passed on", [(retry_decision, "passable", lambda known: True)]),
     ("no more replicas than", [(request.Request, "spare", lambda self: True)]),
-    ("within the budget", [(budget.Retries, "room", lambda self, now, nodes: True)]),
-    ("held past its deadline", [(role.Relay, "expire", lambda self: None)]),
-    ("has (its|one) end", [(role.Relay, "drop", lambda self, q: self.waiting.pop(q.id, None))]),
+    ("within the budget", [(retry_budget.Retries, "room", lambda self, now, nodes: True)]),
+    ("held past its deadline", [(node.ProxyNode, "expire", lambda self: None)]),
+    ("has (its|one) end", [(node.ProxyNode, "drop", lambda self, q: self.waiting.pop(q.id, None))]),
 ]
 
 
--- a/tests/test_request_bytes_mutations.py
+++ b/tests/test_request_bytes_mutations.py
@@ -6,11 +6,11 @@
 import aiohttp
 import pytest
 
-import basaltport.proxy.answer as answer
-import basaltport.proxy.budget as budget
-import basaltport.proxy.connections as connections
-import basaltport.proxy.decision as decision
-import basaltport.proxy.outcomes as outcomes
+import basaltport.proxy.response as response
+import basaltport.proxy.retry_budget as retry_budget
+import basaltport.proxy.upstream_pool as upstream_pool
+import basaltport.proxy.retry_decision as retry_decision
+import basaltport.proxy.attempt_outcome as attempt_outcome
 import basaltport.proxy.request as request
 import basaltport.proxy.upstream as upstream
 import tests.request_cases as request_cases
@@ -25,8 +25,8 @@
 _answer = upstream.Upstream.answer
 _run = upstream.Upstream.run
 _stream = upstream.Upstream.stream
-_init = answer.Sink.__init__
-_whole = answer.Sink.whole
+_init = response.Sink.__init__
+_whole = response.Sink.whole
 
 
 async def _trust_any_id(self, e, sink, r, progress):
@@ -49,11 +49,11 @@
         return await _stream(self, e, sink, r, progress)
     except aiohttp.ClientError:
         await sink.end(r.status, r.headers)
-        return outcomes.Result(outcomes.Outcome.DONE, r.status)
+        return attempt_outcome.Result(attempt_outcome.Outcome.DONE, r.status)
 
 
 def _always_refuse(begun, ran):
-    return decision.Move.CUT if begun else decision.Move.REFUSE
+    return retry_decision.Move.CUT if begun else retry_decision.Move.REFUSE
 
 
 async def _ten_times_the_time(self, e, sink, progress):
@@ -85,7 +85,7 @@
 
 
 UPSTREAM = upstream.Upstream
-SINK = answer.Sink
+SINK = response.Sink
 SWEEPS = {
     "kinds of answers": lambda: request_sweeps.identifiers("safe"),
     "kinds of answers, once": lambda: request_sweeps.identifiers("once"),
@@ -105,9 +105,9 @@
     (Check.ORDER, "streams resumed", [(SINK, "resume", _keep_the_rest)]),
     (Check.ORDER, "streams resumed", [(SINK, "resume", _resume_one_too_late)]),
     (Check.ONCE, "answers reset", [(UPSTREAM, "sent", lambda self, attempt: False)]),
-    (Check.ONCE, "kinds of answers, once", [(decision, "proven_safe", lambda known: True)]),
-    (Check.PROMISE, "answers cut", [(decision, "give_up", _always_refuse)]),
-    (Check.PROMISE, "kinds of answers, once", [(decision, "passable", lambda known: True)]),
+    (Check.ONCE, "kinds of answers, once", [(retry_decision, "proven_safe", lambda known: True)]),
+    (Check.PROMISE, "answers cut", [(retry_decision, "give_up", _always_refuse)]),
+    (Check.PROMISE, "kinds of answers, once", [(retry_decision, "passable", lambda known: True)]),
     (Check.STAMP, "kinds of answers, once", [(SINK, "give", _give_as_our_own)]),
     (Check.TRIES, "kinds of answers", [(request.Request, "spare", lambda self: True)]),
     (Check.HELD, "silence", [(UPSTREAM, "run", _ten_times_the_time)]),
@@ -127,7 +127,7 @@
 
 
 def test_a_budget_that_is_not_kept_is_found(monkeypatch):
-    monkeypatch.setattr(budget.Retries, "room", lambda self, now, nodes: True)
+    monkeypatch.setattr(retry_budget.Retries, "room", lambda self, now, nodes: True)
     played = request_cases.play(request_sweeps.one_service(Kind.ERROR), shared=True)
     assert Check.BUDGET in {f.check for f in request_checks.judge(played, shared=True)}
 
@@ -137,7 +137,7 @@
     cases = request_sweeps.late_extras()
     monkeypatch.setattr(UPSTREAM, "answer", _trust_any_id)
     assert request_checks.judge(request_cases.play(cases)) == []
-    monkeypatch.setattr(connections.Connector, "_get", aiohttp.TCPConnector._get)
+    monkeypatch.setattr(upstream_pool.Connector, "_get", aiohttp.TCPConnector._get)
     assert Check.OWN in {f.check for f in request_checks.judge(request_cases.play(cases))}
 
 
--- a/tests/test_route_scenarios.py
+++ b/tests/test_route_scenarios.py
@@ -13,11 +13,11 @@
 import basaltport.simulation.routes.mayhem as routemayhem
 import basaltport.simulation.routes.scenes as routescenes
 import basaltport.simulation.world.virtual_disk as simdisk
-import basaltport.proxy.budget as budget
-import basaltport.proxy.decision as decision
-import basaltport.proxy.pick as pick
-import basaltport.proxy.role as relay
-import basaltport.proxy.table as table
+import basaltport.proxy.retry_budget as retry_budget
+import basaltport.proxy.retry_decision as retry_decision
+import basaltport.proxy.load_balancing as load_balancing
+import basaltport.proxy.node as node
+import basaltport.proxy.routing as routing
 
 SEEDS = {"mayhem": 3, "leader-disk-stalled": 2, "evacuation-while-a-keeper-dies": 2}
 RUNS = [(name, SEEDS.get(name, 1)) for name in routescenes.SCENARIOS] + [("mayhem", 2)]
@@ -43,7 +43,7 @@
 
 # mutations
 
-_refuse, _judged = relay.Relay.refuse, desk.DeskMixin.judged
+_refuse, _judged = node.ProxyNode.refuse, desk.DeskMixin.judged
 _wanted = machine.Placement.wanted
 
 
@@ -52,7 +52,7 @@
 
 
 def _all_is_refused(begun, ran):
-    return decision.Move.REFUSE
+    return retry_decision.Move.REFUSE
 
 
 def _any_state(self, r, row):
@@ -135,11 +135,14 @@
     (
         "once-only",
         "replicas-ill",
-        [(decision, "proven_safe", _all_may_go_again), (table.Route, "repeatable", lambda self: True)],
+        [
+            (retry_decision, "proven_safe", _all_may_go_again),
+            (routing.Route, "repeatable", lambda self: True),
+        ],
     ),
-    ("promise", "replicas-ill", [(decision, "give_up", _all_is_refused)]),
-    ("draining", "released-one-by-one", [(pick.PickMixin, "open", _any_state)]),
-    ("evacuated", "evacuation-while-a-keeper-dies", [(pick.PickMixin, "open", _any_zone)]),
+    ("promise", "replicas-ill", [(retry_decision, "give_up", _all_is_refused)]),
+    ("draining", "released-one-by-one", [(load_balancing.PickMixin, "open", _any_state)]),
+    ("evacuated", "evacuation-while-a-keeper-dies", [(load_balancing.PickMixin, "open", _any_zone)]),
     ("in-force", "quiet", [(follow.FollowMixin, "take_book", _book_once)]),
     ("back", "quiet", [(follow.FollowMixin, "take_book", _forgets)]),
     ("agreed", "power-loss", [(simdisk.SimDisk, "done", _not_written)]),
@@ -147,8 +150,8 @@
     ("refused", "operators-race", [(desk.DeskMixin, "judged", _taken_though_refused)]),
     ("refused", "operators-race", [(desk.DeskMixin, "judged", _no_compare)]),
     ("survives", "power-loss", [(simdisk.SimDisk, "done", _not_written)]),
-    ("resends", "replicas-refuse", [(budget.Retries, "room", lambda self, now, nodes: True)]),
-    ("cold", "replicas-cold", [(pick.PickMixin, "cold_share", lambda self, r, row: 10**6)]),
+    ("resends", "replicas-refuse", [(retry_budget.Retries, "room", lambda self, now, nodes: True)]),
+    ("cold", "replicas-cold", [(load_balancing.PickMixin, "cold_share", lambda self, r, row: 10**6)]),
     ("store", "rare-models-at-once", [(store.Bucket, "fill", _endless)]),
     (
         "room",
@@ -157,11 +160,11 @@
     ),
     ("starved", "rare-models-at-once", [(machine.Placement, "wanted", _not_m20)]),
     ("back", "all-killed", [(elect.ElectMixin, "quorum", _only_founding)]),
-    ("final-word", "replicas-refuse", [(relay.Relay, "refuse", _now)]),
+    ("final-word", "replicas-refuse", [(node.ProxyNode, "refuse", _now)]),
     (
         "held",
         "rare-models-at-once",
-        [(relay.Relay, "expire", lambda self: None), (machine.Placement, "wanted", _not_m20)],
+        [(node.ProxyNode, "expire", lambda self: None), (machine.Placement, "wanted", _not_m20)],
     ),
     ("acked", "quiet", [(desk.DeskMixin, "acknowledge", lambda self, w: None)]),
 ]
