--- a/tests/test_route_scenarios.py
+++ b/tests/test_route_scenarios.py
@@ -12,7 +12,7 @@
 import basaltport.placement.store as store
 import basaltport.simulation.routes.mayhem as routemayhem
 import basaltport.simulation.routes.scenes as routescenes
-import basaltport.simulation.world.virtual_disk as simdisk
+import basaltport.simulation.virtual_disk as simdisk
 import basaltport.proxy.retry_budget as retry_budget
 import basaltport.proxy.retry_decision as retry_decision
 import basaltport.proxy.load_balancing as load_balancing
