--- a/basaltport/controller/admin.py
+++ b/basaltport/controller/admin.py
@@ -130,7 +130,7 @@
 
 
 def of_proxy(shell, now=identifiers.steady):
-    """For a RelayShell."""
+    """For a ProxyServer."""
 
     def explain(query):
         if not query.get("host") or not query.get("path", "").startswith("/"):
