--- a/basaltport/admin/cli.py
+++ b/basaltport/admin/cli.py
@@ -9,7 +9,7 @@
 import absl.flags as flags
 import aiohttp
 
-import basaltport.replica_client.adapter as adapter
+import basaltport.http_client as http_client
 import basaltport.configuration.check as check
 import basaltport.configuration.read as read
 import basaltport.verbs as verbs
@@ -41,7 +41,7 @@
 
 async def one(fv, node, method, path, body, query):
     t = aiohttp.ClientTimeout(total=fv.lapse)
-    async with adapter.once_session(timeout=t, headers=heads(fv)) as s:
+    async with http_client.once_session(timeout=t, headers=heads(fv)) as s:
         async with s.request(method, f"http://{node}{path}", json=body, params=query) as r:
             return r.status, await r.json(content_type=None)
 
--- a/basaltport/admin/fleet_cli.py
+++ b/basaltport/admin/fleet_cli.py
@@ -11,7 +11,7 @@
 
 import basaltport.admin.cli as cli
 import basaltport.configuration.routes as routes
-import basaltport.replica_client.adapter as adapter
+import basaltport.http_client as http_client
 import basaltport.verbs as verbs
 
 ADDRESS = re.compile(r"\d{1,3}(\.\d{1,3}){3}:\d{1,5}").fullmatch
@@ -61,7 +61,7 @@
 
 async def one(fv, node, page, query):
     t = aiohttp.ClientTimeout(total=fv.lapse)
-    async with adapter.once_session(timeout=t) as s:
+    async with http_client.once_session(timeout=t) as s:
         url = f"http://{node}/basaltport/{page}"
         async with s.get(url, params=query, max_redirects=FOLLOWED) as r:
             return r.status, await r.json(content_type=None)
--- a/basaltport/controller/desk.py
+++ b/basaltport/controller/desk.py
@@ -1,6 +1,6 @@
 """Operators' asks at any keeper. What a leader left open is asked again of the next; every call ends."""
 
-import basaltport.admin.desk as desk
+import basaltport.operator_answers as operator_answers
 import basaltport.configuration.routes as routes
 import basaltport.messages as messages
 
@@ -27,7 +27,7 @@
         self.open = open
 
 
-class DeskMixin(desk.AskMixin):
+class DeskMixin(operator_answers.OperatorAnswersMixin):
     """Needs RosterMixin and VoterMixin."""
 
     def on_asked(self, ev):
--- a/basaltport/handlers.py
+++ b/basaltport/handlers.py
@@ -1,4 +1,4 @@
-"""How a reducer's or shell's method for a message, an event or an effect is found: by the name of its class."""
+"""How the method for a message, an event or an effect is found: by the name of its class."""
 
 import collections.abc
 import functools
--- a/basaltport/host.py
+++ b/basaltport/host.py
@@ -8,18 +8,19 @@
 
 import aiohttp.web
 
-import basaltport.admin.http as http
+import basaltport.query_api.admin.http_server as operator_server
 import basaltport.log_events as log_events
-import basaltport.replica_client.adapter as adapter
+import basaltport.query_api.replica_client.adapter as adapter
 import basaltport.events as events
+import basaltport.query_api.events as query_events
 import basaltport.identifiers as identifiers
 import basaltport.consensus.journal as journal
 import basaltport.consensus.member_identity as member_identity
-import basaltport.query_api.log_node as ledger
+import basaltport.query_api.log_node as log_node
 import basaltport.logs as logs
 import basaltport.member as member
-import basaltport.query_api.query_proxy.front as front
-import basaltport.query_api.query_proxy.role as rostrum
+import basaltport.query_api.query_proxy.http_server as http_server
+import basaltport.query_api.query_node as query_node
 import basaltport.shell as shell
 import basaltport.wires as wires
 
@@ -35,7 +36,7 @@
         return await handler(request)
     except aiohttp.web.HTTPException as e:
         b = {"error": e.reason.lower().replace(" ", "-"), "detail": e.text, "ran": "no", "changed": False}
-        return aiohttp.web.json_response(b, status=e.status, headers={adapter.RAN: "no"})
+        return aiohttp.web.json_response(b, status=e.status, headers={adapter.RAN_HEADER: "no"})
 
 
 class Host(shell.Shell):
@@ -59,9 +60,9 @@
         )
         self.period = TICK
         self.tasks = {}
-        self.front = front.Front(self)
-        self.clerk = http.Clerk(self)
-        self.adapter = adapter.Adapter(self.may_write)
+        self.query_server = http_server.QueryServer(self)
+        self.operator_server = operator_server.OperatorServer(self)
+        self.replica_client = adapter.ReplicaClient(self.may_write)
         self.wires = wires.Wires(s["addr"], self.heard, self.refused)
 
     def open(self):
@@ -69,7 +70,7 @@
         seed = random.SystemRandom().getrandbits(64)
         now = identifiers.steady()
         if self.role == "rostrum":
-            self.member = rostrum.QueryNode(self.me, seed, now)
+            self.member = query_node.QueryNode(self.me, seed, now)
             return None
         self.disk = journal.Disk(self.settings["data"], self.settings["name"])
         got = self.disk.open(member_identity.Identity(self.me.seat))
@@ -78,7 +79,7 @@
             return got.err_value
         recovered = got.ok_value
         self.me.seat = identifiers.MemberId(recovered.identity.seat)
-        self.member = ledger.LogNode(self.me, seed, now, recovered.held, recovered.promised)
+        self.member = log_node.LogNode(self.me, seed, now, recovered.held, recovered.promised)
         if recovered.new_seat:
             logs.note(log_events.Event.SEAT_UNKNOWN, {"folder": self.settings["data"], "seat": self.me.seat})
         g, n = self.member.head()
@@ -97,7 +98,7 @@
     async def start(self):
         self.end = asyncio.Event()
         self.writer = concurrent.futures.ThreadPoolExecutor(1)
-        await self.adapter.start()
+        await self.replica_client.start()
         self.runner = aiohttp.web.AppRunner(
             self.app(), handler_cancellation=True, access_log=None, shutdown_timeout=GRACE / 1000
         )
@@ -118,7 +119,7 @@
         self.ticker.cancel()
         await self.wires.stop()
         await self.runner.cleanup()
-        await self.adapter.stop()
+        await self.replica_client.stop()
         self.writer.shutdown()
         if self.disk:
             self.disk.close()
@@ -127,20 +128,20 @@
         app = aiohttp.web.Application(
             client_max_size=self.settings["manifest_limit"], middlewares=[errors_as_json]
         )
-        self.clerk.routes(app)
+        self.operator_server.routes(app)
         if self.role == "rostrum":
-            self.front.routes(app)
+            self.query_server.routes(app)
         return app
 
     async def drain(self):
         """What was taken in is finished, within bounds."""
         until = identifiers.steady() + GRACE
-        while self.front.sinks and identifiers.steady() < until:
+        while self.query_server.sinks and identifiers.steady() < until:
             await asyncio.sleep(TICK)
 
-    def may_write(self, dispatch):
+    def may_write(self, attempt_id):
         self.member.now = max(self.member.now, identifiers.steady())
-        return self.member.may_write(dispatch)
+        return self.member.may_write(attempt_id)
 
     def override(self, names):
         self.member.out = []
@@ -152,53 +153,53 @@
     # effects
 
     def do_answer(self, e):
-        self.clerk.answer(e.call, e.status, e.body)
+        self.operator_server.answer(e.call, e.status, e.body)
 
-    def do_close(self, e):
-        s = self.front.sinks.get(e.query)
+    def do_final_answer(self, e):
+        s = self.query_server.sinks.get(e.request_id)
         if s:
-            s.close(e.status, e.body, e.retry_after)
+            s.close(e.status, e.body, e.retry_after_ms)
 
-    def do_repeat(self, e):
-        s = self.front.sinks.get(e.query)
+    def do_repeat_response(self, e):
+        s = self.query_server.sinks.get(e.request_id)
         if s:
-            self.tasks[e.query] = asyncio.get_running_loop().create_task(self.repeat(e, s))
+            self.tasks[e.request_id] = asyncio.get_running_loop().create_task(self.repeat(e, s))
 
     async def repeat(self, e, sink):
         try:
-            await sink.again(e.status, e.reply)
+            await sink.repeat(e.status, e.response)
         finally:
-            self.tasks.pop(e.query, None)
+            self.tasks.pop(e.request_id, None)
 
-    def do_dispatch(self, e):
-        self.tasks[e.dispatch] = asyncio.get_running_loop().create_task(self.dispatch(e))
+    def do_start_attempt(self, e):
+        self.tasks[e.attempt_id] = asyncio.get_running_loop().create_task(self.run_attempt(e))
 
-    async def dispatch(self, e):
-        sink = self.front.sinks.get(e.query) or front.Deaf()
+    async def run_attempt(self, e):
+        sink = self.query_server.sinks.get(e.request_id) or http_server.DiscardSink()
         got = ("broken", 0, "abandoned", None)
         try:
-            got = await self.adapter.run(e, sink)
+            got = await self.replica_client.run(e, sink)
         finally:
-            self.tasks.pop(e.dispatch, None)
+            self.tasks.pop(e.attempt_id, None)
             out, n, why, kept = got
             seen = n if out == "refused" else 0
-            self.step(events.Replied(identifiers.steady(), e.dispatch, out, n, why, seen, kept))
+            self.step(query_events.AttemptEnded(identifiers.steady(), e.attempt_id, out, n, why, seen, kept))
 
-    def do_abandon(self, e):
-        t = self.tasks.get(e.dispatch)
+    def do_cancel_attempt(self, e):
+        t = self.tasks.get(e.attempt_id)
         if t:
             t.cancel()
 
-    def do_poll(self, e):
+    def do_poll_replica(self, e):
         asyncio.get_running_loop().create_task(self.poll(e))
 
     async def poll(self, e):
-        ok, doc = await self.adapter.ask("GET", e.url)
-        self.step(events.Polled(identifiers.steady(), e.replica, ok, doc))
+        ok, doc = await self.replica_client.call("GET", e.url)
+        self.step(query_events.ReplicaPolled(identifiers.steady(), e.replica_id, ok, doc))
 
-    def do_order(self, e):
+    def do_order_replica(self, e):
         asyncio.get_running_loop().create_task(self.order(e))
 
     async def order(self, e):
-        ok, doc = await self.adapter.ask("POST", e.url, e.body)
-        self.step(events.Ordered(identifiers.steady(), e.order, ok, doc))
+        ok, doc = await self.replica_client.call("POST", e.url, e.body)
+        self.step(query_events.OrderAnswered(identifiers.steady(), e.order_number, ok, doc))
--- a/basaltport/local_fleet/port.py
+++ b/basaltport/local_fleet/port.py
@@ -12,7 +12,7 @@
 import basaltport.controller.pages as pages
 import basaltport.local_fleet.stand_ins as stand_ins
 import basaltport.placement.effects as effects
-import basaltport.replica_client.adapter as adapter
+import basaltport.http_client as http_client
 
 CALL_S = 1.0
 CONFIGURATION_PATH = "/configuration"
@@ -51,7 +51,7 @@
         """Listen for operators on behalf of `shell`."""
         self.shell = shell
         timeout = aiohttp.ClientTimeout(total=CALL_S)
-        self.session = adapter.once_session(timeout=timeout)
+        self.session = http_client.once_session(timeout=timeout)
         app = aiohttp.web.Application()
         app.router.add_put(CONFIGURATION_PATH, self.put)
         app.router.add_get(CONFIGURATION_PATH, self.get)
--- a/basaltport/proxy/upstream.py
+++ b/basaltport/proxy/upstream.py
@@ -14,7 +14,7 @@
 import basaltport.proxy.memory_limit as memory_limit
 import basaltport.proxy.attempt_outcome as attempt_outcome
 import basaltport.proxy.header_names as header_names
-import basaltport.replica_client.adapter as adapter
+import basaltport.http_client as http_client
 
 Outcome = attempt_outcome.Outcome
 Result = attempt_outcome.Result
@@ -130,7 +130,7 @@
     async def start(self) -> None:
         """Ready for attempts."""
         self.connector = upstream_pool.Connector(self.got, self.need_of)
-        self.session = adapter.once_session(
+        self.session = http_client.once_session(
             connector=self.connector,
             auto_decompress=False,
             cookie_jar=aiohttp.DummyCookieJar(),
--- a/basaltport/query_api/failure_detection/ring.py
+++ b/basaltport/query_api/failure_detection/ring.py
@@ -33,8 +33,8 @@
     book: dict[str, typing.Any]
     leader: typing.Any
 
-    def addr_of(self, seat: str) -> str:
-        """The address of a member."""
+    def addr_of(self, seat: str) -> str | None:
+        """The address of a member, if it is known."""
 
     def send(self, addr: str, msg: object) -> None:
         """Send a message to an address."""
@@ -68,7 +68,9 @@
         self.ring_sequence += 1
         members = self.book["roster"]
         for watcher in watchers(self.me.seat, members):
-            self.send(self.addr_of(watcher), messages.RingHeartbeat(self.me.seat, self.ring_sequence))
+            address = self.addr_of(watcher)
+            if address:
+                self.send(address, messages.RingHeartbeat(self.me.seat, self.ring_sequence))
         for member_id in members:
             if self.me.seat in watchers(member_id, members) and self.is_missed(member_id):
                 self.report(member_id)
--- a/basaltport/query_api/load_generator/shoot.py
+++ b/basaltport/query_api/load_generator/shoot.py
@@ -9,7 +9,7 @@
 import aiohttp
 
 import basaltport.query_api.load_generator.plan as plan
-import basaltport.replica_client.adapter as adapter
+import basaltport.http_client as http_client
 
 LEAD_S = 0.2
 
@@ -49,7 +49,7 @@
         t = aiohttp.ClientTimeout(total=self.lapse)
         conn = aiohttp.TCPConnector(limit=0, keepalive_timeout=5)
         tasks = []
-        async with adapter.once_session(timeout=t, connector=conn) as s:
+        async with http_client.once_session(timeout=t, connector=conn) as s:
             self.begin = time.monotonic() + LEAD_S
             for n, (at, line, item, sender) in enumerate(self.plan):
                 wait = self.begin + at - time.monotonic()
--- a/basaltport/query_api/log_node.py
+++ b/basaltport/query_api/log_node.py
@@ -2,15 +2,15 @@
 
 import typing
 
-import basaltport.admin.desk as desk
 import basaltport.consensus.elect as elect
 import basaltport.consensus.lead as lead
 import basaltport.consensus.seat as seat
 import basaltport.identifiers as identifiers
 import basaltport.member as member
+import basaltport.query_api.admin.leader_requests as leader_requests
 import basaltport.query_api.cell.cell as cell
-import basaltport.query_api.failure_detection.duties as duties
 import basaltport.query_api.failure_detection.ring as ring
+import basaltport.query_api.failure_detection.role_owners as role_owners
 
 
 SNAPSHOT_EVERY_ENTRIES = 400
@@ -20,10 +20,10 @@
 class LogNode(
     elect.ElectMixin,
     lead.LeadMixin,
-    duties.DutyMixin,
+    role_owners.RoleOwnerMixin,
     ring.RingMixin,
     cell.CellMixin,
-    desk.DeskMixin,
+    leader_requests.LeaderRequestsMixin,
     seat.SeatMixin,
     member.Member,
 ):
@@ -46,7 +46,7 @@
         elect.ElectMixin.elect_start(self)
         self.cell_start()
         self.ring_start()
-        desk.DeskMixin.desk_start(self)
+        self.desk_start()
         seat.SeatMixin.seat_start(self, held, promised)
         self.snapshot_index = self.book["serial"]
         self.disk_retry_at = now
--- a/basaltport/query_api/query_node.py
+++ b/basaltport/query_api/query_node.py
@@ -3,7 +3,6 @@
 import collections
 import typing
 
-import basaltport.admin.desk as desk
 import basaltport.configuration.rules as rules
 import basaltport.consensus.seat as seat
 import basaltport.events as common_events
@@ -11,6 +10,7 @@
 import basaltport.log_events as log_events
 import basaltport.member as member
 import basaltport.messages as common_messages
+import basaltport.query_api.admin.operator_requests as operator_requests
 import basaltport.query_api.anti_entropy.key_holder as key_holder
 import basaltport.query_api.cell.cell as cell
 import basaltport.query_api.failure_detection.ring as ring
@@ -43,7 +43,7 @@
     key_holder.KeyHolderMixin,
     cell.CellMixin,
     ring.RingMixin,
-    desk.AskMixin,
+    operator_requests.OperatorRequestsMixin,
     seat.SeatMixin,
     member.Member,
 ):
@@ -87,7 +87,7 @@
         self.slots_start()
         self.estimates_start()
         self.zone_controller_start()
-        desk.AskMixin.desk_start(self)
+        self.desk_start()
         self.key_claims_start()
         self.key_holder_start()
         seat.SeatMixin.seat_start(self)
--- a/basaltport/query_api/query_proxy/http_server.py
+++ b/basaltport/query_api/query_proxy/http_server.py
@@ -11,7 +11,7 @@
 import basaltport.identifiers as identifiers
 import basaltport.query_api.events as events
 import basaltport.query_api.query_proxy.final_answers as final_answers
-import basaltport.replica_client.adapter as adapter
+import basaltport.query_api.replica_client.adapter as adapter
 
 QUERY_HEADER = "Basaltport-Query"
 KEY_HEADER = "Idempotency-Key"
@@ -66,7 +66,11 @@
 
     def respond(self, status: int, body: Document, ran: str, retry_after_ms: int = 0) -> None:
         """End the request with a response in one piece."""
-        headers = {QUERY_HEADER: self.request_id, adapter.RAN: ran, **retry_after_header(retry_after_ms)}
+        headers = {
+            QUERY_HEADER: self.request_id,
+            adapter.RAN_HEADER: ran,
+            **retry_after_header(retry_after_ms),
+        }
         self.done.set_result(aiohttp.web.json_response(body, status=status, headers=headers))
 
     def close(self, status: int, body: Document, retry_after_ms: int) -> None:
@@ -115,7 +119,7 @@
             self.begun = True
             headers = {
                 QUERY_HEADER: self.request_id,
-                adapter.RAN: "yes",
+                adapter.RAN_HEADER: "yes",
                 "Content-Type": "application/x-ndjson",
             }
             self.response = aiohttp.web.StreamResponse(headers=headers)
@@ -179,11 +183,11 @@
 
 def deadline_of(request: aiohttp.web.Request) -> int:
     """For how many milliseconds the client waits; -1 where it does not say."""
-    text = request.headers.get(adapter.DEADLINE)
+    text = request.headers.get(adapter.DEADLINE_HEADER)
     if text is None:
         return events.NO_DEADLINE
     if not text.isascii() or not text.isdigit() or len(text) > MAX_DEADLINE_DIGITS:
-        raise BadRequestError("bad-deadline", f"{adapter.DEADLINE} is a whole number of milliseconds")
+        raise BadRequestError("bad-deadline", f"{adapter.DEADLINE_HEADER} is a whole number of milliseconds")
     return int(text)
 
 
@@ -232,7 +236,7 @@
         body = final_answers.answer_body(request_id, code, detail, "no")
         if retry_after_ms:
             body["retry_after_ms"] = retry_after_ms
-        headers = {QUERY_HEADER: request_id, adapter.RAN: "no", **retry_after_header(retry_after_ms)}
+        headers = {QUERY_HEADER: request_id, adapter.RAN_HEADER: "no", **retry_after_header(retry_after_ms)}
         return aiohttp.web.json_response(body, status=status, headers=headers)
 
     async def query(self, request: aiohttp.web.Request) -> aiohttp.web.StreamResponse:
--- a/basaltport/query_api/query_proxy/interface.py
+++ b/basaltport/query_api/query_proxy/interface.py
@@ -149,6 +149,9 @@
     def slot(self, replica_id: str) -> Slot:
         """See `SlotsMixin`."""
 
+    def record_time(self, item: identifiers.Item, took_ms: int) -> None:
+        """See `EstimatesMixin`."""
+
     def least_time(self, item: identifiers.Item) -> int:
         """See `EstimatesMixin`."""
 
--- a/basaltport/query_api/query_proxy/key_claim.py
+++ b/basaltport/query_api/query_proxy/key_claim.py
@@ -4,13 +4,14 @@
 import json
 import typing
 
+import basaltport.identifiers as identifiers
 import basaltport.query_api.messages as messages
 
 if typing.TYPE_CHECKING:
     import basaltport.query_api.events as events
 
 DIGEST_CHARACTERS = 40
-NO_HOLDERS = -1
+NO_HOLDERS = identifiers.LogIndex(-1)
 
 
 def _digest(document: object) -> str:
--- a/basaltport/query_api/query_proxy/key_claims.py
+++ b/basaltport/query_api/query_proxy/key_claims.py
@@ -4,6 +4,7 @@
 import http
 import typing
 
+import basaltport.identifiers as identifiers
 import basaltport.query_api.events as events
 import basaltport.query_api.messages as messages
 import basaltport.query_api.query_proxy.interface as interface
@@ -45,7 +46,7 @@
         """Ask those holders that have not granted it."""
         holders = self.key_holders(claim.key_id)
         if holders["at"] != claim.holders_since:
-            claim.holders_since, claim.answers = holders["at"], {}
+            claim.holders_since, claim.answers = identifiers.LogIndex(holders["at"]), {}
             claim.attempt += 1
         claim.next_at = self.now + (FOLLOW_INTERVAL_MS if claim.following else RETRY_INTERVAL_MS)
         for member_id in sorted(holders["seats"]):
--- a/basaltport/replica_client/pieces.py
+++ b/basaltport/query_api/replica_client/pieces.py
@@ -1,4 +1,4 @@
-"""A streamed reply as its replica tells it: numbered pieces of one dispatch, and a line that counts them."""
+"""A streamed response as a replica sends it: numbered pieces of an attempt, and a line that counts them."""
 
 import enum
 import typing
@@ -19,29 +19,29 @@
     piece: typing.Any = None
 
 
-class Pieces:
-    """Takes a replica's lines in turn; anything out of order, or of another dispatch, is no reply."""
+class PieceReader:
+    """Takes a replica's lines in turn; anything out of order, or of another attempt, is no response."""
 
-    __slots__ = ("dispatch", "n", "ended")
+    __slots__ = ("attempt_id", "next_number", "ended")
 
-    def __init__(self, dispatch: str) -> None:
-        """Expect the pieces of one dispatch, from number 0."""
-        self.dispatch = dispatch
-        self.n = 0
+    def __init__(self, attempt_id: str) -> None:
+        """Expect the pieces of one attempt, from number 0."""
+        self.attempt_id = attempt_id
+        self.next_number = 0
         self.ended = False
 
     def take(self, doc: object) -> Line:
         """The line of a document; ValueError where the stream can't be trusted."""
-        if not isinstance(doc, dict) or doc.get("dispatch") != self.dispatch:
+        if not isinstance(doc, dict) or doc.get("dispatch") != self.attempt_id:
             raise ValueError("a line of another dispatch")
         if self.ended:
             raise ValueError("a line after the end")
         if doc.get("end"):
-            if doc.get("pieces") != self.n:
+            if doc.get("pieces") != self.next_number:
                 raise ValueError("the end does not count the pieces")
             self.ended = True
-            return Line(Kind.END, self.n)
-        if doc.get("n") != self.n:
+            return Line(Kind.END, self.next_number)
+        if doc.get("n") != self.next_number:
             raise ValueError("a piece out of order")
-        self.n += 1
-        return Line(Kind.PIECE, self.n - 1, doc.get("piece"))
+        self.next_number += 1
+        return Line(Kind.PIECE, self.next_number - 1, doc.get("piece"))
--- a/basaltport/query_api/zone_controller/interface.py
+++ b/basaltport/query_api/zone_controller/interface.py
@@ -10,6 +10,9 @@
 import basaltport.query_api.zone_controller.replica as replica
 
 
+ItemRule = rules.ItemRule
+
+
 class ZoneControllerInterface(typing.Protocol):
     """See `consensus.seat`, `CellMixin`, and the other mixins of this package."""
 
@@ -50,7 +53,7 @@
     def place(self, zone: owned_zone.OwnedZone) -> None:
         """Order what loads and unloads are needed."""
 
-    def is_kept_in(self, rule: rules.ItemRule, zone: identifiers.Zone) -> bool:
+    def is_kept_in(self, rule: ItemRule, zone: identifiers.Zone) -> bool:
         """Whether a zone should keep an item loaded."""
 
     def see_zones(self) -> None:
--- a/basaltport/query_api/zone_controller/replica.py
+++ b/basaltport/query_api/zone_controller/replica.py
@@ -13,8 +13,10 @@
 
 
 class HeldItem(typing.NamedTuple):
-    """An item that a replica holds; times in milliseconds. `state` is loaded or loading, `for_ms` how long
-    it has been so, `idle_ms` since its last request ended (0 while one runs), `load_ms` what its load took."""
+    """An item that a replica holds; times in milliseconds.
+
+    `state`: loaded or loading; `for_ms`: how long it has been so; `idle_ms`: since its last request ended
+    (0 while one runs); `load_ms`: what its load took."""
 
     state: str
     size: int
--- a/basaltport/query_api/zone_controller/zone_controller.py
+++ b/basaltport/query_api/zone_controller/zone_controller.py
@@ -7,7 +7,6 @@
 import basaltport.log_events as log_events
 import basaltport.query_api.events as events
 import basaltport.query_api.failure_detection.role_owners as role_owners
-import basaltport.query_api.messages as messages
 import basaltport.query_api.zone_controller.cell_updates as cell_updates
 import basaltport.query_api.zone_controller.kept_items as kept_items
 import basaltport.query_api.zone_controller.load_permits as load_permits
--- a/basaltport/simulation/query_api/planner.py
+++ b/basaltport/simulation/query_api/planner.py
@@ -7,7 +7,7 @@
 
 import basaltport.admin.cli as clerk
 import basaltport.configuration.check as check
-import basaltport.events as events
+import basaltport.query_api.events as events
 import basaltport.identifiers as identifiers
 import basaltport.simulation.query_api.world.world as world
 import basaltport.verbs as verbs
@@ -67,7 +67,7 @@
     w.must("platform", {"replicas": w.platform_list()})
     w.must("apply", {"manifest": manifest})
     n = w.nodes["rostrum-1"]
-    w.run_until(lambda: n.member.leased() and n.member.duties, BOUND)
+    w.run_until(lambda: n.member.leased() and n.member.owned_zones, BOUND)
     settle(w)
     rules = n.member.rules
     kept = held(w)
@@ -82,12 +82,12 @@
         if r.kept:
             continue
         before = held(w)
-        w.give(n, n.life, events.Prewarm(w.now, [identifiers.Item(i)]))
+        w.give(n, n.life, events.PrewarmRequested(w.now, [identifiers.Item(i)]))
         said = {}
 
         def here(i=i, said=said):
-            for d in n.member.duties.values():
-                said.update({k: v for k, v in d.refused.items() if k == i})
+            for d in n.member.owned_zones.values():
+                said.update({k: v for k, v in d.rejected.items() if k == i})
             return i in held(w)
 
         w.run_until(here, 4000)
--- a/basaltport/simulation/query_api/standins/backend.py
+++ b/basaltport/simulation/query_api/standins/backend.py
@@ -1,7 +1,7 @@
 """The simulator's other parties: replicas, weight store, platform."""
 
-import basaltport.replica_client.pieces as pieces
-import basaltport.events as events
+import basaltport.query_api.replica_client.pieces as pieces
+import basaltport.query_api.events as events
 import basaltport.simulation.query_api.standins.replica as replica
 import basaltport.sockets as sockets
 
@@ -84,10 +84,10 @@
 
     # polls and orders
 
-    def do_poll(self, n, e):
+    def do_poll_replica(self, n, e):
         r = self.by_url(e.url)
         if not self.reachable(n, r):
-            self.later(1000, self.give, n, n.life, events.Polled(self.now, e.replica, False, {}))
+            self.later(1000, self.give, n, n.life, events.ReplicaPolled(self.now, e.replica_id, False, {}))
             return
         fence = int(e.url.split("fence=")[1])
         self.later(self.hop(), self.poll_there, n, n.life, r, r.life, e, fence)
@@ -95,18 +95,24 @@
     def poll_there(self, n, life, r, rlife, e, fence):
         ok = r.mode in ("up", "sick", "torn") and r.life == rlife
         st = r.logic.state(self.now, fence) if ok else {}
-        self.later(self.hop(), self.give, n, life, events.Polled(self.now, e.replica, ok, st))
+        self.later(self.hop(), self.give, n, life, events.ReplicaPolled(self.now, e.replica_id, ok, st))
 
-    def do_order(self, n, e):
+    def do_order_replica(self, n, e):
         r = self.by_url(e.url)
         if not self.reachable(n, r):
-            self.later(1000, self.give, n, n.life, events.Ordered(self.now, e.order, False, {}))
+            self.later(1000, self.give, n, n.life, events.OrderAnswered(self.now, e.order_number, False, {}))
             return
         self.later(self.hop(), self.order_there, n, n.life, r, r.life, e)
 
     def order_there(self, n, life, r, rlife, e):
         if r.mode != "up" or r.life != rlife:
-            self.later(self.hop(), self.give, n, life, events.Ordered(self.now, e.order, False, {}))
+            self.later(
+                self.hop(),
+                self.give,
+                n,
+                life,
+                events.OrderAnswered(self.now, e.order_number, False, {}),
+            )
             return
         status, doc, item = r.logic.order(self.now, e.body)
         self.log("order", node=n.name, replica=r.rid, epoch=r.logic.epoch, status=status, **e.body)
@@ -117,7 +123,13 @@
             self.log("load", replica=r.rid, item=item, at_once=self.store.now_loading, limit=self.store.loads)
             ms = e.body["size"] * self.preset["load_ms_per_size"] * self.store_slow
             self.later(ms, self.loaded, r, r.life, item)
-        self.later(self.hop(), self.give, n, life, events.Ordered(self.now, e.order, status == 200, doc))
+        self.later(
+            self.hop(),
+            self.give,
+            n,
+            life,
+            events.OrderAnswered(self.now, e.order_number, status == 200, doc),
+        )
 
     def loaded(self, r, life, item):
         if r.life != life:
@@ -127,7 +139,7 @@
 
     # dispatches
 
-    def do_dispatch(self, n, e):
+    def do_start_attempt(self, n, e):
         r = self.by_url(e.url)
         self.later(self.hop(), self.write, n, n.life, r, e)
 
@@ -140,25 +152,32 @@
             return
         n.member.now = max(n.member.now, self.now)
         if r.mode == "gone":
-            self.give(n, life, events.Replied(self.now, e.dispatch, "refused", 0, "no-wire"))
+            self.give(n, life, events.AttemptEnded(self.now, e.attempt_id, "refused", 0, "no-wire"))
             return
-        e.serial = n.member.may_write(e.dispatch)
-        if e.serial is None:
-            self.give(n, life, events.Replied(self.now, e.dispatch, "refused", 0, "withheld"))
+        e.configuration_version = n.member.may_write(e.attempt_id)
+        if e.configuration_version is None:
+            self.give(n, life, events.AttemptEnded(self.now, e.attempt_id, "refused", 0, "withheld"))
             return
-        self.log("write", node=n.name, replica=r.rid, dispatch=e.dispatch, query=e.query, serial=e.serial)
-        st = {"over": False, "pieces": 0, "said": pieces.Pieces(e.dispatch), "inbox": [], "at": 0}
-        self.later(e.timeout, self.late, n, life, e, st)
+        self.log(
+            "write",
+            node=n.name,
+            replica=r.rid,
+            dispatch=e.attempt_id,
+            query=e.request_id,
+            serial=e.configuration_version,
+        )
+        st = {"over": False, "pieces": 0, "said": pieces.PieceReader(e.attempt_id), "inbox": [], "at": 0}
+        self.later(e.timeout_ms, self.late, n, life, e, st)
         if (n.name, r.rid) in self.cuts or r.mode == "dark":
             if self.hold is not None and r.mode != "dark":
                 self.held.append((self.now, self.admit, (n, life, r, r.life, e, st)))
-            lost = events.Replied(self.now, e.dispatch, "broken")
+            lost = events.AttemptEnded(self.now, e.attempt_id, "broken")
             self.later(sockets.UNDELIVERED, self.back, n, life, e, st, lost)
             return
         self.later(self.hop(), self.admit, n, life, r, r.life, e, st)
 
     def late(self, n, life, e, st):
-        if st["over"] or e.dispatch in self.abandoned or n.life != life:
+        if st["over"] or e.attempt_id in self.abandoned or n.life != life:
             return
         st["over"] = True
         self.give(n, life, self.broke_off(e, st, "late"))
@@ -166,12 +185,12 @@
     def broke_off(self, e, st, outcome):
         """What an adapter tells of a wire that ended: with a piece gone out, the sender's ends as well."""
         if not st["pieces"]:
-            return events.Replied(self.now, e.dispatch, outcome)
-        self.closed(e.query, "cut", 0, {})
-        return events.Replied(self.now, e.dispatch, "cut")
+            return events.AttemptEnded(self.now, e.attempt_id, outcome)
+        self.closed(e.request_id, "cut", 0, {})
+        return events.AttemptEnded(self.now, e.attempt_id, "cut")
 
     def back(self, n, life, e, st, ev):
-        if st["over"] or e.dispatch in self.abandoned or n.life != life:
+        if st["over"] or e.attempt_id in self.abandoned or n.life != life:
             return
         st["over"] = True
         if ev.outcome == "broken":
@@ -180,20 +199,36 @@
 
     def admit(self, n, life, r, rlife, e, st):
         if r.life != rlife or r.mode not in ("up", "sick", "torn"):
-            self.later(self.hop(), self.back, n, life, e, st, events.Replied(self.now, e.dispatch, "broken"))
+            self.later(
+                self.hop(),
+                self.back,
+                n,
+                life,
+                e,
+                st,
+                events.AttemptEnded(self.now, e.attempt_id, "broken"),
+            )
             return
-        self.log("reach", node=n.name, replica=r.rid, zone=r.row["zone"], dispatch=e.dispatch)
-        bad = r.logic.admit(self.now, e.dispatch, e.serial, e.body)
+        self.log("reach", node=n.name, replica=r.rid, zone=r.row["zone"], dispatch=e.attempt_id)
+        bad = r.logic.admit(self.now, e.attempt_id, e.configuration_version, e.body)
         if bad:
-            ev = events.Replied(self.now, e.dispatch, "refused", 0, bad[1], r.logic.serial)
+            ev = events.AttemptEnded(self.now, e.attempt_id, "refused", 0, bad[1], r.logic.serial)
             self.later(self.hop(), self.back, n, life, e, st, ev)
             return
         at = {"age": int(self.now - r.logic.born), "running": len(r.logic.running), "group": r.row["group"]}
         p = e.body["prompt"]
-        self.log("ran", replica=r.rid, dispatch=e.dispatch, prompt=p, serial=e.serial, **at)
+        self.log("ran", replica=r.rid, dispatch=e.attempt_id, prompt=p, serial=e.configuration_version, **at)
         if r.mode == "sick" or r.mode == "torn" and not e.body.get("stream"):
-            r.logic.finish(self.now, e.dispatch)
-            self.later(self.hop(), self.back, n, life, e, st, events.Replied(self.now, e.dispatch, "broken"))
+            r.logic.finish(self.now, e.attempt_id)
+            self.later(
+                self.hop(),
+                self.back,
+                n,
+                life,
+                e,
+                st,
+                events.AttemptEnded(self.now, e.attempt_id, "broken"),
+            )
             return
         ms = self.preset["service_ms"][r.row["group"]] * self.rng.uniform(0.6, 1.4) * r.slow
         if e.body.get("stream"):
@@ -203,9 +238,17 @@
 
     def finish(self, n, life, r, rlife, e, st):
         if r.life != rlife:
-            self.later(self.hop(), self.back, n, life, e, st, events.Replied(self.now, e.dispatch, "broken"))
+            self.later(
+                self.hop(),
+                self.back,
+                n,
+                life,
+                e,
+                st,
+                events.AttemptEnded(self.now, e.attempt_id, "broken"),
+            )
             return
-        r.logic.finish(self.now, e.dispatch)
+        r.logic.finish(self.now, e.attempt_id)
         if r.mode not in ("up", "sick", "torn") or (r.rid, n.name) in self.cuts:
             return
         self.later(self.hop(), self.reply, n, life, e, st)
@@ -217,12 +260,12 @@
             self.later(50, self.reply, n, life, e, st)
             return
         doc = {"reply": e.body["prompt"]}
-        self.closed(e.query, "done", 200, doc)
-        kept = doc if e.keep else None
-        self.back(n, life, e, st, events.Replied(self.now, e.dispatch, "done", 200, reply=kept))
+        self.closed(e.request_id, "done", 200, doc)
+        kept = doc if e.keep_response else None
+        self.back(n, life, e, st, events.AttemptEnded(self.now, e.attempt_id, "done", 200, response=kept))
 
-    def do_abandon(self, n, e):
-        if e.dispatch in self.abandoned:
+    def do_cancel_attempt(self, n, e):
+        if e.attempt_id in self.abandoned:
             return
-        self.abandoned.add(e.dispatch)
-        self.give(n, n.life, events.Replied(self.now, e.dispatch, "broken", 0, "abandoned"))
+        self.abandoned.add(e.attempt_id)
+        self.give(n, n.life, events.AttemptEnded(self.now, e.attempt_id, "broken", 0, "abandoned"))
--- a/basaltport/simulation/query_api/standins/standin.py
+++ b/basaltport/simulation/query_api/standins/standin.py
@@ -9,7 +9,7 @@
 import aiohttp
 import aiohttp.web
 
-import basaltport.replica_client.adapter as adapter
+import basaltport.query_api.replica_client.adapter as adapter
 import basaltport.identifiers as identifiers
 import basaltport.simulation.query_api.standins.replica as replica
 
@@ -81,11 +81,15 @@
             self.store.end()
 
     async def run(self, request):
-        d = request.headers[adapter.DISPATCH]
+        d = request.headers[adapter.ATTEMPT_HEADER]
         body = await request.json()
-        bad = self.logic.admit(identifiers.steady(), d, int(request.headers[adapter.SERIAL]), body)
+        bad = self.logic.admit(identifiers.steady(), d, int(request.headers[adapter.VERSION_HEADER]), body)
         if bad:
-            h = {adapter.DISPATCH: d, adapter.RAN: "no", adapter.SERIAL: str(self.logic.serial)}
+            h = {
+                adapter.ATTEMPT_HEADER: d,
+                adapter.RAN_HEADER: "no",
+                adapter.VERSION_HEADER: str(self.logic.serial),
+            }
             return aiohttp.web.json_response({"dispatch": d, "error": bad[1]}, status=bad[0], headers=h)
         logic = self.logic
         ms = self.conf["service_ms"].get(self.row["group"], 50) * self.rng.uniform(0.6, 1.4)
@@ -94,7 +98,7 @@
                 return await self.pieces(request, d, body, ms)
             await self.work(ms)
             doc = {"dispatch": d, "reply": f"{body['model']}: {body['prompt']}"}
-            return aiohttp.web.json_response(doc, headers={adapter.DISPATCH: d})
+            return aiohttp.web.json_response(doc, headers={adapter.ATTEMPT_HEADER: d})
         finally:
             logic.finish(identifiers.steady(), d)
 
@@ -111,7 +115,9 @@
             self.healed = asyncio.Event()
 
     async def pieces(self, request, d, body, ms):
-        r = aiohttp.web.StreamResponse(headers={adapter.DISPATCH: d, "Content-Type": "application/x-ndjson"})
+        r = aiohttp.web.StreamResponse(
+            headers={adapter.ATTEMPT_HEADER: d, "Content-Type": "application/x-ndjson"}
+        )
         await r.prepare(request)
         words = f"{body['model']}: {body['prompt']}".split(" ")
         for n, w in enumerate(words):
--- a/basaltport/simulation/query_api/world/senders.py
+++ b/basaltport/simulation/query_api/world/senders.py
@@ -2,7 +2,7 @@
 
 import random
 
-import basaltport.events as events
+import basaltport.query_api.events as events
 
 PIECES = 4
 
@@ -18,8 +18,8 @@
 
     def stream_start(self, n, life, r, e, st, ms):
         words = [f"{e.body['prompt']}.{i}" for i in range(PIECES)]
-        lines = [{"dispatch": e.dispatch, "n": i, "piece": w} for i, w in enumerate(words)]
-        lines.append({"dispatch": e.dispatch, "end": True, "pieces": PIECES})
+        lines = [{"dispatch": e.attempt_id, "n": i, "piece": w} for i, w in enumerate(words)]
+        lines.append({"dispatch": e.attempt_id, "end": True, "pieces": PIECES})
         if r.mode == "torn":
             self.tear(lines)
         at = 0
@@ -42,11 +42,19 @@
 
     def stream_there(self, n, life, r, rlife, e, st, doc, last):
         if last and r.life == rlife:
-            r.logic.finish(self.now, e.dispatch)
+            r.logic.finish(self.now, e.attempt_id)
         if st["over"]:
             return
         if r.life != rlife:
-            self.later(self.hop(), self.back, n, life, e, st, events.Replied(self.now, e.dispatch, "broken"))
+            self.later(
+                self.hop(),
+                self.back,
+                n,
+                life,
+                e,
+                st,
+                events.AttemptEnded(self.now, e.attempt_id, "broken"),
+            )
             return
         if r.mode not in ("up", "sick", "torn") or (r.rid, n.name) in self.cuts:
             return
@@ -60,33 +68,35 @@
         if n.frozen:
             self.later(50, self.stream_here, n, life, e, st, None)
             return
-        while st["inbox"] and not st["over"] and n.life == life and e.dispatch not in self.abandoned:
+        while st["inbox"] and not st["over"] and n.life == life and e.attempt_id not in self.abandoned:
             self.stream_line(n, life, e, st, st["inbox"].pop(0))
 
     def stream_line(self, n, life, e, st, doc):
         try:
             kind, i, piece = st["said"].take(doc)
         except ValueError:
-            self.back(n, life, e, st, events.Replied(self.now, e.dispatch, "broken"))
+            self.back(n, life, e, st, events.AttemptEnded(self.now, e.attempt_id, "broken"))
             return
-        q = self.queries[e.query]
+        q = self.queries[e.request_id]
         if kind == "piece":
             st["pieces"] += 1
             q["pieces"].append(piece)
-            self.log("piece", query=e.query, prompt=q["prompt"], n=i, piece=piece, run=e.dispatch)
+            self.log("piece", query=e.request_id, prompt=q["prompt"], n=i, piece=piece, run=e.attempt_id)
             return
-        kept = {"pieces": list(q["pieces"])} if e.keep else None
-        self.closed(e.query, "done", 200, {"reply": e.body["prompt"], "pieces": i})
-        self.back(n, life, e, st, events.Replied(self.now, e.dispatch, "done", 200, reply=kept))
-
-    def do_repeat(self, n, e):
-        q = self.queries[e.query]
-        if "pieces" not in e.reply:
-            self.closed(e.query, "done", e.status, {"reply": e.reply["reply"]})
+        kept = {"pieces": list(q["pieces"])} if e.keep_response else None
+        self.closed(e.request_id, "done", 200, {"reply": e.body["prompt"], "pieces": i})
+        self.back(n, life, e, st, events.AttemptEnded(self.now, e.attempt_id, "done", 200, response=kept))
+
+    def do_repeat_response(self, n, e):
+        q = self.queries[e.request_id]
+        if "pieces" not in e.response:
+            self.closed(e.request_id, "done", e.status, {"reply": e.response["reply"]})
             return
-        for i, x in enumerate(e.reply["pieces"]):
-            self.log("piece", query=e.query, prompt=q["prompt"], n=i, piece=x, run="kept")
-        self.closed(e.query, "done", e.status, {"reply": q["prompt"], "pieces": len(e.reply["pieces"])})
+        for i, x in enumerate(e.response["pieces"]):
+            self.log("piece", query=e.request_id, prompt=q["prompt"], n=i, piece=x, run="kept")
+        self.closed(
+            e.request_id, "done", e.status, {"reply": q["prompt"], "pieces": len(e.response["pieces"])}
+        )
 
     # senders
 
@@ -121,7 +131,7 @@
             body["stream"] = True
         tell = {"key": key} if key else {}
         self.log("query", query=qid, prompt=prompt, line=line, once=once, node=n.name, **tell)
-        self.give(n, n.life, events.Arrived(self.now, qid, line, token, body, deadline, key))
+        self.give(n, n.life, events.RequestArrived(self.now, qid, line, token, body, deadline, key))
         return q
 
     def go_away(self, qid):
@@ -132,7 +142,7 @@
         n = self.nodes[q["node"]]
         q["gone"] = True
         self.closed(qid, "gone", 0, {})
-        self.give(n, n.life, events.Gone(self.now, qid))
+        self.give(n, n.life, events.ClientGone(self.now, qid))
 
     def closed(self, qid, outcome, status, body):
         q = self.queries[qid]
@@ -149,8 +159,8 @@
         )
         self.log("end", query=qid, prompt=q["prompt"], outcome=outcome, code=q["code"], status=status, **tell)
 
-    def do_close(self, n, e):
-        self.closed(e.query, "refused" if e.body["ran"] == "no" else "unknown", e.status, e.body)
+    def do_final_answer(self, n, e):
+        self.closed(e.request_id, "refused" if e.body["ran"] == "no" else "unknown", e.status, e.body)
 
     def cut_senders(self, n):
         for q in self.queries.values():
--- a/basaltport/simulation/query_api/world/world.py
+++ b/basaltport/simulation/query_api/world/world.py
@@ -4,15 +4,16 @@
 import random
 
 import basaltport.events as events
+import basaltport.query_api.events as query_events
 import basaltport.handlers as handlers
 import basaltport.frames as frames
 import basaltport.identifiers as identifiers
-import basaltport.query_api.log_node as ledger
+import basaltport.query_api.log_node as log_node
 import basaltport.member as member
 import basaltport.simulation.query_api.standins.backend as backend
 import basaltport.simulation.query_api.world.senders as senders
 import basaltport.simulation.virtual_disk as simdisk
-import basaltport.query_api.query_proxy.role as rostrum
+import basaltport.query_api.query_node as query_node
 
 TICK = 25
 
@@ -143,9 +144,9 @@
         )
         seed = self.rng.getrandbits(64)
         if n.role == "ledger":
-            n.member = ledger.LogNode(me, seed, self.now, held, promised)
+            n.member = log_node.LogNode(me, seed, self.now, held, promised)
         else:
-            n.member = rostrum.QueryNode(me, seed, self.now)
+            n.member = query_node.QueryNode(me, seed, self.now)
         n.life += 1
         n.frozen = False
         n.stopping = False
@@ -216,8 +217,12 @@
         self.step(n, ev)
 
     def step(self, n, ev):
-        if isinstance(ev, events.Replied) and ev.outcome in ("late", "broken") and ev.detail != "abandoned":
-            self.log("fate", node=n.name, query=ev.dispatch.rsplit(".", 1)[0], outcome=ev.outcome)
+        if (
+            isinstance(ev, query_events.AttemptEnded)
+            and ev.outcome in ("late", "broken")
+            and ev.detail != "abandoned"
+        ):
+            self.log("fate", node=n.name, query=ev.attempt_id.rsplit(".", 1)[0], outcome=ev.outcome)
         for e in n.member.step(ev):
             handlers.require(self, "do_", type(e))(n, e)
 
--- a/tests/node.py
+++ b/tests/node.py
@@ -6,9 +6,10 @@
 import basaltport.identifiers as identifiers
 import basaltport.consensus.book as book
 import basaltport.member as member
-import basaltport.messages as messages
-import basaltport.query_api.query_proxy.role as role
-import basaltport.range_digests as ranges
+import basaltport.query_api.events as query_events
+import basaltport.query_api.messages as messages
+import basaltport.query_api.query_node as query_node
+import basaltport.range_digests as range_digests
 
 Z = identifiers.Zone("z1")
 FENCE = identifiers.Fence(5)
@@ -46,7 +47,7 @@
     def __init__(self, m=None, **line):
         self.now = 1_000_000
         me = member.Me("house", "r1", "r1-s", "rostrum", "z1", "a:1", "a:2", ["a:9"], 3)
-        self.r = role.QueryNode(me, 1, self.now)
+        self.r = query_node.QueryNode(me, 1, self.now)
         b = book.new()
         rows = [("r1-s", "rostrum", "a:1"), ("st-s", "rostrum", "b:1"), ("le-s", "ledger", "c:1")]
         b["roster"] = {s: {"name": s[:2], "seat": s, "role": r, "zone": "z1", "addr": a} for s, r, a in rows}
@@ -82,7 +83,9 @@
         self.n += 1
         b = {"model": model, "prompt": f"p{self.n}", **body}
         return self.step(
-            events.Arrived(self.now, identifiers.RequestId(f"q{self.n}"), line, token(who), b, deadline)
+            query_events.RequestArrived(
+                self.now, identifiers.RequestId(f"q{self.n}"), line, token(who), b, deadline
+            )
         )
 
     def holds(self, replica, item, state="loaded", slots=4):
@@ -92,22 +95,24 @@
 
     def news(self):
         self.news_n += 1
-        m = messages.CellNews(
-            Z, FENCE, "st-s", self.news_n, dict(self.rows), [], ranges.digests(self.rows), ""
+        m = messages.CellUpdate(
+            Z, FENCE, "st-s", self.news_n, dict(self.rows), [], range_digests.digests(self.rows), ""
         )
         return self.step(events.Heard(self.now, "b:1", m))
 
     def grant(self, replica, n):
-        self.r.need_at = {}
-        self.r.hot = True
-        k = [e for e in self.tick() if isinstance(getattr(e, "msg", None), messages.Need)][-1].msg.k
+        self.r.slots_requested_at = {}
+        self.r.demand_waits = True
+        k = [e for e in self.tick() if isinstance(getattr(e, "msg", None), messages.SlotRequest)][
+            -1
+        ].msg.sequence
         self.news_n += 1
-        rows = {r: s.n for r, s in self.r.slots.items()}
+        rows = {r: s.granted for r, s in self.r.slots.items()}
         rows[replica] = n
-        m = messages.Grants(Z, FENCE, k, self.news_n, rows)
+        m = messages.SlotGrants(Z, FENCE, k, self.news_n, rows)
         return self.step(events.Heard(self.now, "b:1", m))
 
-    def facts(self, ask, state, item="m", **kw):
+    def model_status(self, ask, state, item="m", **kw):
         f = {
             "retry_after": 100,
             "kept": False,
@@ -119,28 +124,33 @@
             "reason": "",
         }
         f.update(kw)
-        return self.step(events.Heard(self.now, "b:1", messages.Facts(ask, Z, item, state, **f)))
+        return self.step(events.Heard(self.now, "b:1", messages.ModelStatus(ask, Z, item, state, **f)))
 
     def replied(self, d, outcome, status=200, detail="", serial=0):
-        return self.step(events.Replied(self.now, d, outcome, status, detail, serial))
+        return self.step(query_events.AttemptEnded(self.now, d, outcome, status, detail, serial))
 
 
-def wants(out):
-    return [e.msg for e in out if isinstance(getattr(e, "msg", None), messages.Want)]
+def status_requests(out):
+    return [e.msg for e in out if isinstance(getattr(e, "msg", None), messages.ModelStatusRequest)]
 
 
-def dispatches(out):
-    return [e for e in out if isinstance(e, events.Dispatch)]
+def first_request_number(out):
+    """The number of the first request for a model's status."""
+    return status_requests(out)[0].request_number
 
 
-def closes(out):
-    return [e for e in out if isinstance(e, events.Close)]
+def attempts(out):
+    return [e for e in out if isinstance(e, query_events.StartAttempt)]
+
+
+def final_answers(out):
+    return [e for e in out if isinstance(e, query_events.FinalAnswer)]
 
 
 def warm(n, item="m", replica="x1", **kw):
     """A node whose cache has seen the item loaded."""
     n.holds(replica, item)
-    ask = wants(n.query(item))[0].ask
-    got = n.facts(ask, "loaded", item, serving_for=100_000, **kw)
-    n.replied(dispatches(got)[0].dispatch, "done")
+    ask = first_request_number(n.query(item))
+    got = n.model_status(ask, "loaded", item, serving_for=100_000, **kw)
+    n.replied(attempts(got)[0].attempt_id, "done")
     return n
--- a/tests/test_adr_0041.py
+++ b/tests/test_adr_0041.py
@@ -1,6 +1,7 @@
 """The routine's rules, one test each, on virtual time at their boundaries."""
 
 import basaltport.events as events
+import basaltport.query_api.events as query_events
 import basaltport.identifiers as identifiers
 import basaltport.cold_start.limits as limits
 import tests.node as node
@@ -9,69 +10,72 @@
 def test_a_warm_model_is_sent_to_at_once_without_asking():
     n = node.warm(node.Node())
     out = n.query()
-    assert not node.wants(out) and len(node.dispatches(out)) == 1
+    assert not node.status_requests(out) and len(node.attempts(out)) == 1
 
 
 def test_an_unknown_model_is_asked_for_and_the_ask_orders_the_load():
     n = node.Node()
-    w = node.wants(n.query())
+    w = node.status_requests(n.query())
     assert [(x.item, x.wake) for x in w] == [("m", True)]
-    assert not node.dispatches(n.out)
+    assert not node.attempts(n.out)
 
 
 def test_polls_keep_the_controller_s_spacing_and_never_less_than_100_ms():
     for retry, spacing in ((700, 700), (5, 100)):
         n = node.Node()
-        ask = node.wants(n.query())[0].ask
-        n.facts(ask, "loading", retry_after=retry)
-        assert not node.wants(n.until(spacing - 1, every=1))
-        assert len(node.wants(n.tick(1))) == 1
+        ask = node.first_request_number(n.query())
+        n.model_status(ask, "loading", retry_after=retry)
+        assert not node.status_requests(n.until(spacing - 1, every=1))
+        assert len(node.status_requests(n.tick(1))) == 1
 
 
 def test_first_queries_of_a_cold_model_share_one_wait():
     n = node.Node()
     out = [e for _ in range(20) for e in n.query()]
-    assert len(node.wants(out)) == 1
+    assert len(node.status_requests(out)) == 1
     n.holds("x1", "m", slots=30)
-    got = n.facts(node.wants(out)[0].ask, "loaded")
-    assert len(node.dispatches(got)) == 20
+    got = n.model_status(node.first_request_number(out), "loaded")
+    assert len(node.attempts(got)) == 20
 
 
 def test_any_state_but_loaded_or_loading_ends_the_call_at_once():
     n = node.Node()
-    ask = node.wants(n.query())[0].ask
-    c = node.closes(n.facts(ask, "unavailable", reason="no room"))
+    ask = node.first_request_number(n.query())
+    c = node.final_answers(n.model_status(ask, "unavailable", reason="no room"))
     assert [(x.status, x.body["error"], x.body["ran"]) for x in c] == [(503, "unavailable", "no")]
     assert "no room" in c[0].body["detail"]
 
 
 def _limit_ends(n, ask, at, **facts):
     """The moment a query that never gets ready is refused, kept loading meanwhile."""
-    n.facts(ask, "loading", retry_after=1000, **facts)
+    n.model_status(ask, "loading", retry_after=1000, **facts)
     t0 = n.now
     while n.now - t0 < at + 5000:
         for e in n.tick(25):
-            w = node.wants([e])
+            w = node.status_requests([e])
             if w:
-                n.facts(w[0].ask, "loading", retry_after=1000, **facts)
-            if node.closes([e]):
-                return n.now - t0, node.closes([e])[0].body["error"]
+                n.model_status(w[0].request_number, "loading", retry_after=1000, **facts)
+            if node.final_answers([e]):
+                return n.now - t0, node.final_answers([e])[0].body["error"]
     return None
 
 
 def test_the_limit_is_the_prompt_s_ready_timeout_when_given():
     n = node.Node(ready_timeout_ms=2000)
-    assert _limit_ends(n, node.wants(n.query())[0].ask, 2000) == (2000, "readiness-timeout")
+    assert _limit_ends(n, node.first_request_number(n.query()), 2000) == (
+        2000,
+        "readiness-timeout",
+    )
 
 
 def test_else_twice_the_expected_load_with_a_floor_of_30_s():
     n = node.Node()
-    assert _limit_ends(n, node.wants(n.query())[0].ask, 50_000, expected=25_000) == (
+    assert _limit_ends(n, node.first_request_number(n.query()), 50_000, expected=25_000) == (
         50_000,
         "readiness-timeout",
     )
     n = node.Node()
-    assert _limit_ends(n, node.wants(n.query())[0].ask, 30_000, expected=4_000) == (
+    assert _limit_ends(n, node.first_request_number(n.query()), 30_000, expected=4_000) == (
         30_000,
         "readiness-timeout",
     )
@@ -80,18 +84,21 @@
 def test_else_300_s():
     assert limits.limit(0, 0) == 300_000
     n = node.Node()
-    assert _limit_ends(n, node.wants(n.query())[0].ask, 300_000) == (300_000, "readiness-timeout")
+    assert _limit_ends(n, node.first_request_number(n.query()), 300_000) == (
+        300_000,
+        "readiness-timeout",
+    )
 
 
 def test_the_request_timeout_starts_only_at_readiness():
     n = node.Node(timeout_ms=1000)
-    ask = node.wants(n.query())[0].ask
-    n.facts(ask, "loading", retry_after=1000)
+    ask = node.first_request_number(n.query())
+    n.model_status(ask, "loading", retry_after=1000)
     n.until(20_000)
     n.holds("x1", "m")
-    ask = node.wants(n.until(500))[-1].ask
-    d = node.dispatches(n.facts(ask, "loaded"))
-    assert [x.timeout for x in d] == [1000]
+    ask = node.status_requests(n.until(500))[-1].request_number
+    d = node.attempts(n.model_status(ask, "loaded"))
+    assert [x.timeout_ms for x in d] == [1000]
 
 
 def test_warm_ends_at_the_window_less_the_larger_of_10_s_and_a_fifth():
@@ -103,14 +110,14 @@
         n.now += 80_000 - left
         n.news()
         n.grant("x1", 4)
-        assert len(node.wants(n.query())) == asks
+        assert len(node.status_requests(n.query())) == asks
 
 
 def test_a_kept_model_stays_warm_without_a_window():
     n = node.warm(node.Node(), kept=True)
     n.now += 10_000_000
     n.grant("x1", 4)
-    assert not node.wants(n.query())
+    assert not node.status_requests(n.query())
 
 
 def test_only_a_response_below_500_is_a_sign_of_serving():
@@ -119,29 +126,29 @@
         n.now += 70_000
         n.news()
         n.grant("x1", 4)
-        n.replied(node.dispatches(n.query())[0].dispatch, "done", status)
+        n.replied(node.attempts(n.query())[0].attempt_id, "done", status)
         n.now += 20_000
         n.grant("x1", 4)
-        assert len(node.wants(n.query())) == asks
+        assert len(node.status_requests(n.query())) == asks
 
 
 def _timeout(n):
-    d = node.dispatches(n.query())[0]
+    d = node.attempts(n.query())[0]
     n.now += 1000
-    return d, node.wants(n.replied(d.dispatch, "late"))
+    return d, node.status_requests(n.replied(d.attempt_id, "late"))
 
 
 def test_after_a_timeout_it_asks_once_without_waking_and_forgets_that_it_was_warm():
     n = node.warm(node.Node(once_only=True), kept=True)
     _, w = _timeout(n)
     assert [(x.item, x.wake) for x in w] == [("m", False)]
-    n.facts(w[0].ask, "loaded", serving_for=500_000)
-    assert len(node.wants(n.query())) == 1
+    n.model_status(w[0].request_number, "loaded", serving_for=500_000)
+    assert len(node.status_requests(n.query())) == 1
 
 
 def _phase(n, state, **kw):
     _, w = _timeout(n)
-    return _told(n.facts(w[0].ask, state, **kw))
+    return _told(n.model_status(w[0].request_number, state, **kw))
 
 
 def _told(out):
@@ -170,53 +177,53 @@
 def test_a_repeatable_query_goes_again_once_and_only_after_readiness():
     n = node.warm(node.Node())
     d, w = _timeout(n)
-    out = n.facts(w[0].ask, "loading")
-    assert not node.dispatches(out) and not node.closes(out)
+    out = n.model_status(w[0].request_number, "loading")
+    assert not node.attempts(out) and not node.final_answers(out)
     n.grant("x1", 4)
-    again = node.dispatches(n.facts(node.wants(out)[0].ask, "loaded", serving_for=10))
-    assert [x.query for x in again] == [d.query]
+    again = node.attempts(n.model_status(node.first_request_number(out), "loaded", serving_for=10))
+    assert [x.request_id for x in again] == [d.request_id]
     n.now += 1000
-    out = n.replied(again[0].dispatch, "late")
-    assert not node.dispatches(out)
-    assert [x.body["ran"] for x in node.closes(out)] == ["unknown"]
+    out = n.replied(again[0].attempt_id, "late")
+    assert not node.attempts(out)
+    assert [x.body["ran"] for x in node.final_answers(out)] == ["unknown"]
 
 
 def test_a_once_only_query_is_never_sent_again_after_a_timeout():
     n = node.warm(node.Node(once_only=True))
-    d = node.dispatches(n.query())[0]
+    d = node.attempts(n.query())[0]
     n.now += 1000
-    out = n.replied(d.dispatch, "late")
-    assert len(node.closes(out)) == 1
-    assert not node.dispatches(out + n.facts(node.wants(out)[0].ask, "loaded", serving_for=10))
+    out = n.replied(d.attempt_id, "late")
+    assert len(node.final_answers(out)) == 1
+    assert not node.attempts(out + n.model_status(node.first_request_number(out), "loaded", serving_for=10))
 
 
 def test_a_once_only_query_goes_again_on_proof_that_it_never_ran():
     n = node.warm(node.Node(once_only=True))
     n.holds("x2", "m")
-    d = node.dispatches(n.query())[0]
-    again = node.dispatches(n.replied(d.dispatch, "refused", 429, "busy"))
-    assert [x.query for x in again] == [d.query] and again[0].replica != d.replica
+    d = node.attempts(n.query())[0]
+    again = node.attempts(n.replied(d.attempt_id, "refused", 429, "busy"))
+    assert [x.request_id for x in again] == [d.request_id] and again[0].replica_id != d.replica_id
 
 
 def test_the_remaining_wait_travels_shrinking():
     n = node.Node()
-    ask = node.wants(n.query(deadline=9000))[0].ask
-    n.facts(ask, "loading", retry_after=1000)
+    ask = node.first_request_number(n.query(deadline=9000))
+    n.model_status(ask, "loading", retry_after=1000)
     n.until(3000)
     n.holds("x1", "m")
-    ask = node.wants(n.until(500))[-1].ask
+    ask = node.status_requests(n.until(500))[-1].request_number
     t = n.now - 1_000_000
-    d = node.dispatches(n.facts(ask, "loaded"))[0]
-    assert d.deadline == 9000 - t < 6000
+    d = node.attempts(n.model_status(ask, "loaded"))[0]
+    assert d.deadline_ms == 9000 - t < 6000
     n.now += 10
-    assert n.r.may_write(d.dispatch) == 3
+    assert n.r.may_write(d.attempt_id) == 3
 
 
 def test_it_fails_before_sending_if_what_remains_cannot_cover_the_load():
     for left, refused in ((7999, 1), (8000, 0)):
         n = node.Node()
-        ask = node.wants(n.query(deadline=left))[0].ask
-        c = node.closes(n.facts(ask, "loading", expected=8000))
+        ask = node.first_request_number(n.query(deadline=left))
+        c = node.final_answers(n.model_status(ask, "loading", expected=8000))
         assert len(c) == refused
         if c:
             assert c[0].body["error"] == "deadline-too-short" and c[0].body["ran"] == "no"
@@ -225,15 +232,17 @@
 
 def test_prewarm_orders_loads_without_a_query_and_without_waiting():
     n = node.Node()
-    w = node.wants(n.step(events.Prewarm(n.now, [identifiers.Item("m"), identifiers.Item("n")])))
+    w = node.status_requests(
+        n.step(query_events.PrewarmRequested(n.now, [identifiers.Item("m"), identifiers.Item("n")]))
+    )
     assert [(x.item, x.wake) for x in w] == [("m", True), ("n", True)]
-    assert not n.r.waits
+    assert not n.r.load_waits
 
 
 def test_a_line_s_first_demand_prewarms_what_it_names():
     n = node.Node(prewarm=["m", "m/a", "n"])
-    assert sorted(x.item for x in node.wants(n.query())) == ["m", "m/a", "n"]
-    assert not node.wants(n.query())
+    assert sorted(x.item for x in node.status_requests(n.query())) == ["m", "m/a", "n"]
+    assert not node.status_requests(n.query())
 
 
 def test_runtime_status_tells_without_asking():
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -5,9 +5,9 @@
 
 import basaltport.query_api.failure_detection.ring as ring
 import basaltport.events as events
-import basaltport.messages as messages
+import basaltport.query_api.messages as messages
 import basaltport.simulation.query_api.world.stage as stage
-import basaltport.range_digests as ranges
+import basaltport.range_digests as range_digests
 import tests.node as node
 
 ROWS = st.dictionaries(st.text("abcdef|", min_size=1, max_size=5), st.integers(0, 3), max_size=30)
@@ -16,17 +16,17 @@
 @hypothesis.settings(derandomize=True, deadline=None)
 @hypothesis.given(ROWS, ROWS)
 def test_mending_the_ranges_that_differ_makes_the_copies_equal(old, new):
-    bits = ranges.differ(ranges.digests(old), ranges.digests(new))
+    bits = range_digests.differ(range_digests.digests(old), range_digests.digests(new))
     assert bits.any() == (old != new)
-    sent = ranges.cut(new, ranges.unpack(ranges.pack(bits)))
-    assert ranges.mend(old, bits, sent) == new
-    same = {k for k in old if new.get(k) == old[k] and not bits[ranges.range_of(k)]}
+    sent = range_digests.cut(new, range_digests.unpack(range_digests.pack(bits)))
+    assert range_digests.mend(old, bits, sent) == new
+    same = {k for k in old if new.get(k) == old[k] and not bits[range_digests.range_of(k)]}
     assert not same & sent.keys()
 
 
 def test_a_garbled_set_of_ranges_asks_for_nothing():
-    for text in ("", "01", "x" * ranges.RANGES, "2" + "0" * (ranges.RANGES - 1)):
-        assert not ranges.unpack(text).any()
+    for text in ("", "01", "x" * range_digests.RANGES, "2" + "0" * (range_digests.RANGES - 1)):
+        assert not range_digests.unpack(text).any()
 
 
 def _cells(n):
@@ -40,7 +40,7 @@
     rows = {"x1": {"up": True, "room": 50}, "x1|n": "loaded"}
     for v in (1, 2):
         rows["x1|m"] = f"loaded{v}"
-        m = messages.CellNews(node.Z, 6, "st-s", v, dict(rows), [], ranges.digests(rows), "")
+        m = messages.CellUpdate(node.Z, 6, "st-s", v, dict(rows), [], range_digests.digests(rows), "")
         n.step(events.Heard(n.now, "b:1", m))
     assert n.r.cells["z1"].version == 2 and n.r.cells["z1"].rows["x1|m"] == "loaded2"
 
@@ -116,5 +116,5 @@
     w.run(1000)
     w.wake(name)
     w.run(300)
-    said = {by for of in w.leader().member.voices.values() for by in of}
+    said = {by for of in w.leader().member.suspicions.values() for by in of}
     assert said and w.nodes[name].seat_was not in said
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -1,5 +1,6 @@
 """Senders' keys: a claim held by most keepers, under lost, doubled and late frames, kills, new rosters."""
 
+import collections
 import dataclasses
 import random
 
@@ -10,11 +11,14 @@
 import basaltport.identifiers as identifiers
 import basaltport.consensus.book as book
 import basaltport.member as member
-import basaltport.messages as messages
-import basaltport.query_api.query_proxy.claims as claims
-import basaltport.query_api.query_proxy.comeback as comeback
-import basaltport.query_api.query_proxy.query as query
-import basaltport.query_api.anti_entropy.keep as keep
+import basaltport.range_digests as range_digests
+import basaltport.query_api.events as query_events
+import basaltport.query_api.messages as messages
+import basaltport.query_api.query_proxy.key_claim as key_claim
+import basaltport.query_api.query_proxy.key_claims as key_claims
+import basaltport.query_api.query_proxy.final_answers as final_answers
+import basaltport.query_api.query_proxy.request as request
+import basaltport.query_api.anti_entropy.key_holder as key_holder
 
 KEEP = 60_000
 LEASE = 1650
@@ -30,30 +34,33 @@
     urgency = 5
 
 
-class Keeper(claims.ClaimMixin, keep.KeepMixin, comeback.ComebackMixin, member.Member):
+class Keeper(
+    key_claims.KeyClaimsMixin, key_holder.KeyHolderMixin, final_answers.FinalAnswersMixin, member.Member
+):
     """Only what keys need of a rostrum; a held claim is handed to the house."""
 
-    TICKS = ("tick_claims", "tick_keep")
+    TICKS = ("tick_key_claims", "tick_key_holder")
 
     def __init__(self, house, name, seat):
         me = member.Me("h", name, seat, "rostrum", "z", seat, seat, [], 3)
         member.Member.__init__(self, me, 1, house.now)
-        self.house, self.rules, self.tally, self.queries = house, Rules, {}, {}
+        self.house, self.rules = house, Rules
+        self.outcome_counts, self.requests = collections.Counter(), {}
         self.book = house.log[0][1]
-        self.lines = self
-        self.claim_start()
-        self.keep_start()
+        self.queues = self
+        self.key_claims_start()
+        self.key_holder_start()
 
-    def drop(self, q):
+    def remove(self, q):
         pass
 
     def addr_of(self, seat):
         return seat
 
-    def come_back(self, q):
+    def estimate_retry_after(self, q):
         return 1000
 
-    def run_program(self, q, at, ev):
+    def run_admission(self, q, at, ev):
         self.house.held.append((self, q))
 
 
@@ -105,9 +112,9 @@
         for e in k.out:
             if isinstance(e, events.Send):
                 self.bag.append((e.addr, e.msg))
-            if isinstance(e, events.Close | events.Repeat):
-                assert e.query not in self.ended, "ended twice"
-                self.ended[e.query] = e
+            if isinstance(e, query_events.FinalAnswer | query_events.RepeatResponse):
+                assert e.request_id not in self.ended, "ended twice"
+                self.ended[e.request_id] = e
 
     def deliver(self):
         i = self.rng.randrange(len(self.bag))
@@ -120,10 +127,10 @@
     def ask(self, key):
         k = self.rng.choice(list(self.nodes.values()))
         self.n += 1
-        q = query.Query(f"q{self.n}", "l", "s", "m", {"prompt": key}, self.now, self.now + 8000, Rule)
-        ev = events.Arrived(self.now, q.id, "l", "t", q.body, -1, key)
+        q = request.Request(f"q{self.n}", "l", "s", "m", {"prompt": key}, self.now, self.now + 8000, Rule)
+        ev = query_events.RequestArrived(self.now, q.id, "l", "t", q.body, -1, key)
         self.do(k, k.begin_claim, q, ev)
-        q.claim.rest = (0, ev)
+        q.claim.next_step, q.claim.arrival = 0, ev
 
     def finish(self):
         """A held query is refused before it ran, or runs and ends or is lost."""
@@ -132,15 +139,15 @@
             return
         x = self.rng.random()
         if x < 0.3 or not self.leased(k):
-            self.do(k, k.refuse_id, q.id, 503, "stopping")
+            self.do(k, k.reject_id, q.id, 503, "stopping")
             return
-        assert q.claim.kid not in self.ran, (q.id, self.ran[q.claim.kid])
-        self.ran[q.claim.kid] = q.id
+        assert q.claim.key_id not in self.ran, (q.id, self.ran[q.claim.key_id])
+        self.ran[q.claim.key_id] = q.id
         if x < 0.6:
             self.do(k, k.give_up, q, 502, "dispatch-broken")
         elif x < 0.9:
-            k.queries.pop(q.id)
-            self.do(k, k.settle_claim, q, "yes", 200, {"reply": q.body["prompt"]})
+            k.requests.pop(q.id)
+            self.do(k, k.end_claim, q, "yes", 200, {"reply": q.body["prompt"]})
 
     def roster(self):
         seats = list(self.tip()["roster"])
@@ -185,7 +192,11 @@
 def _play(seeds, steps=2500):
     hs = [House(s).play(steps) for s in seeds]
     ends = [e for h in hs for e in h.ended.values()]
-    return sum(len(h.ran) for h in hs), sum(isinstance(e, events.Repeat) for e in ends), len(ends)
+    return (
+        sum(len(h.ran) for h in hs),
+        sum(isinstance(e, query_events.RepeatResponse) for e in ends),
+        len(ends),
+    )
 
 
 def test_no_key_runs_twice_and_no_query_ends_twice():
@@ -195,27 +206,27 @@
 
 def _any_grant(self, q):
     if any(a.state == "granted" for a in q.claim.answers.values()):
-        self.claim_held(q)
+        self.claim_granted(q)
         return
     _weigh(self, q)
 
 
 def _whole_at_once(self):
     _join(self)
-    for i, j in self.joins.items():
-        self.whole[i] = j.at
-    self.joins = {}
+    for i, j in self.range_copies.items():
+        self.complete_since[i] = j.since
+    self.range_copies = {}
 
 
-_weigh = claims.ClaimMixin.weigh_claim
-_join = keep.KeepMixin.join_ranges
+_weigh = key_claims.KeyClaimsMixin.weigh_claim
+_join = key_holder.KeyHolderMixin.join_ranges
 
 
 @pytest.mark.parametrize(
     "cls, name, broken",
     [
-        (claims.ClaimMixin, "weigh_claim", _any_grant),
-        (keep.KeepMixin, "join_ranges", _whole_at_once),
+        (key_claims.KeyClaimsMixin, "weigh_claim", _any_grant),
+        (key_holder.KeyHolderMixin, "join_ranges", _whole_at_once),
         (book, "fewer", lambda new, old: False),
     ],
     ids=("any-grant", "whole-at-once", "no-fewer"),
@@ -231,19 +242,19 @@
     h = House(1, 3)
     for k in h.nodes.values():
         h.do(k, k.on_tick, None)
-    kid = claims.kid_of("l", "s", key)
-    return h, kid, [h.nodes[s] for s in sorted(h.nodes[next(iter(h.nodes))].keepers(kid)["seats"])]
+    kid = key_claim.key_id_of("l", "s", key)
+    return h, kid, [h.nodes[s] for s in sorted(h.nodes[next(iter(h.nodes))].key_holders(kid)["seats"])]
 
 
 def _claim(h, k, kid, q, n=1, at=1, owner="n0-0", digest="d"):
     """What a keeper answers to a claim, or None."""
     h.bag = []
-    h.do(k, k.hear_claim, "", messages.Claim(kid, digest, q, owner, at, n))
+    h.do(k, k.hear_key_claim, "", messages.KeyClaim(kid, digest, q, owner, at, n))
     return h.bag[0][1].state if h.bag else None
 
 
 def _settle(h, k, kid, q, n, state):
-    h.do(k, k.hear_settle, "", messages.Settle(kid, "d", q, "n0-0", n, state, 200, {"reply": "r"}))
+    h.do(k, k.hear_key_outcome, "", messages.KeyOutcome(kid, "d", q, "n0-0", n, state, 200, {"reply": "r"}))
 
 
 def test_a_word_that_a_claim_is_free_does_not_free_a_later_try():
@@ -264,16 +275,16 @@
     h.take(a)
     h.do(n, n.on_tick, None)
     live = (a.me.seat, b.me.seat)
-    wants = [(h.nodes[s], m) for s, m in h.bag if s in live and isinstance(m, messages.KeepWant)]
+    wants = [(h.nodes[s], m) for s, m in h.bag if s in live and isinstance(m, messages.KeyRangeRequest)]
     h.bag = []
     for k, m in wants:
-        h.do(k, k.hear_keepwant, "", m)
-    assert {m.seat for _, m in h.bag} == {a.me.seat}
+        h.do(k, k.hear_key_range_request, "", m)
+    assert {m.member_id for _, m in h.bag} == {a.me.seat}
     h.take(b)
     for k, m in wants:
-        h.do(k, k.hear_keepwant, "", m)
+        h.do(k, k.hear_key_range_request, "", m)
     for _, m in list(h.bag):
-        h.do(n, n.hear_keepcopy, "", m)
+        h.do(n, n.hear_key_range_copy, "", m)
     h.do(n, n.on_tick, None)
     assert _claim(h, n, kid, "x", at=2) == _claim(h, n, kid, "y", at=2) == "taken"
 
@@ -282,14 +293,14 @@
     h, kid, (a, b, c) = _keepers()
     assert _claim(h, a, kid, "x", at=0) is None and _claim(h, a, kid, "x", at=2) is None
     h.bag = []
-    q = query.Query("q1", "l", "s", "m", {}, h.now, h.now + 8000, Rule)
-    h.do(a, a.begin_claim, q, events.Arrived(h.now, "q1", "l", "t", {}, -1, "k"))
-    q.claim.rest = (0, None)
+    q = request.Request("q1", "l", "s", "m", {}, h.now, h.now + 8000, Rule)
+    h.do(a, a.begin_claim, q, query_events.RequestArrived(h.now, "q1", "l", "t", {}, -1, "k"))
+    q.claim.next_step, q.claim.arrival = 0, object()
     h.agree({"op": "roster", "swap": [[s.me.seat, h.row(s.me.name, s.me.name + "-1")] for s in (b, c)]})
     h.take(a)
-    old = messages.Claimed(a.me.seat, "q1", 1, "granted", 0, {}, "", 0)
+    old = messages.KeyClaimAnswer(a.me.seat, "q1", 1, "granted", 0, {}, "", 0)
     for s in (a, b, c):
-        h.do(a, a.hear_claimed, "", dataclasses.replace(old, seat=s.me.seat))
+        h.do(a, a.hear_key_claim_answer, "", dataclasses.replace(old, member_id=s.me.seat))
     assert not h.held
 
 
@@ -308,8 +319,8 @@
     h.take(a)
     new = [h.start(s.me.name + "-1") for s in (b, c)]
     assert [_claim(h, k, kid, "x", at=2) for k in new] == ["blank", "blank"]
-    assert h.bag[0][1].left == KEEP + keep.LAPSE
-    h.now += KEEP + keep.LAPSE
+    assert h.bag[0][1].left == KEEP + key_holder.CLAIM_MARGIN_MS
+    h.now += KEEP + key_holder.CLAIM_MARGIN_MS
     for k in new:
         h.do(k, k.on_tick, None)
     assert [_claim(h, k, kid, "x", at=2) for k in new] == ["granted", "granted"]
@@ -319,6 +330,8 @@
     h, kid, (a, b, c) = _keepers()
     monkeypatch.setattr(Rules, "keep_bound", 1)
     assert _claim(h, a, kid, "x") == "granted" and _claim(h, a, kid[:-1] + "!", "y") in ("full", None)
-    monkeypatch.setattr(keep, "BYTES", 10)
+    monkeypatch.setattr(key_holder, "RESPONSE_BYTES", 10)
     _settle(h, a, kid, "x", 1, "done")
-    assert a.kept[keep.ranges.range_of(kid)][kid].who["x"]["reply"] == {} and a.kept_bytes == 0
+    assert (
+        a.key_records[range_digests.range_of(kid)][kid].claims["x"].response == {} and a.response_bytes == 0
+    )
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -7,9 +7,9 @@
 import hypothesis.strategies as st
 
 import basaltport.simulation.query_api.world.stage as stage
-import basaltport.query_api.query_proxy.credits as credits
-import basaltport.query_api.query_proxy.lines as lines
-import basaltport.query_api.query_proxy.query as query
+import basaltport.query_api.query_proxy.retry_budget as retry_budget
+import basaltport.query_api.query_proxy.queues as queues
+import basaltport.query_api.query_proxy.request as request
 
 
 class Agreement(sf.RuleBasedStateMachine):
@@ -93,12 +93,12 @@
         assert not self.refused & set(changes)
 
 
-class Lines(sf.RuleBasedStateMachine):
+class Queues(sf.RuleBasedStateMachine):
     """Against a model: in turn by sender, in order for each, nothing lost, nobody starved."""
 
     def __init__(self):
         super().__init__()
-        self.lines = lines.Lines()
+        self.queues = queues.Queues()
         self.model = collections.defaultdict(list)
         self.n = 0
         self.passed = collections.Counter()
@@ -107,45 +107,45 @@
     def put(self, line, sender, item):
         self.n += 1
         rule = collections.namedtuple("Rule", "urgency")(1 + 4 * "abc".index(line))
-        q = query.Query(str(self.n), line, sender, item, {}, 0, 0, rule)
-        self.lines.put(q)
+        q = request.Request(str(self.n), line, sender, item, {}, 0, 0, rule)
+        self.queues.put(q)
         self.model[line, sender].append(q)
 
     @sf.rule(item=st.sampled_from(["m", "n", "any"]))
     def take(self, item):
         fit = [q for d in self.model.values() for q in d if item in ("any", q.item)]
-        q = self.lines.take(lambda q: item in ("any", q.item))
+        q = self.queues.take(lambda q: item in ("any", q.item))
         if not fit:
             assert q is None
             return
-        mine = [x for x in self.model[q.line, q.sender] if item in ("any", x.item)]
+        mine = [x for x in self.model[q.queue, q.client] if item in ("any", x.item)]
         assert q is mine[0]
-        self.model[q.line, q.sender].remove(q)
+        self.model[q.queue, q.client].remove(q)
         if item != "any":
             return
         for line in {k[0] for k, d in self.model.items() if d}:
             self.passed[line] += 1
-        self.passed[q.line] = 0
+        self.passed[q.queue] = 0
         assert max(self.passed.values()) <= 1 << 9
 
     @sf.rule(line=st.sampled_from("abc"), sender=st.sampled_from("xyz"))
     def drop(self, line, sender):
         if self.model[line, sender]:
-            self.lines.drop(self.model[line, sender].pop())
+            self.queues.remove(self.model[line, sender].pop())
 
     @sf.invariant()
     def sizes(self):
         for line in "abc":
-            assert self.lines.size(line) == sum(len(d) for k, d in self.model.items() if k[0] == line)
+            assert self.queues.size(line) == sum(len(d) for k, d in self.model.items() if k[0] == line)
 
 
-class Credits(sf.RuleBasedStateMachine):
+class RetryBudgets(sf.RuleBasedStateMachine):
     """In every window that ends at a resend: at most a fifth of the first sends in it and the allowance."""
 
     def __init__(self):
         super().__init__()
         self.now = 0
-        self.r = credits.Resends()
+        self.r = retry_budget.RetryBudget()
         self.first, self.again = [], []
 
     @sf.rule(ms=st.integers(0, 4000))
@@ -155,7 +155,7 @@
     @sf.rule(n=st.integers(1, 30))
     def send(self, n):
         for _ in range(n):
-            self.r.sent(self.now)
+            self.r.record_first(self.now)
             self.first.append(self.now)
 
     @sf.rule(n=st.integers(1, 10))
@@ -163,13 +163,13 @@
         for _ in range(n):
             if self.r.spend(self.now, 20, 2):
                 self.again.append(self.now)
-        lo = self.now - credits.WINDOW
+        lo = self.now - retry_budget.WINDOW_MS
         first = sum(t > lo for t in self.first)
         assert sum(t > lo for t in self.again) <= first // 5 + 2
 
     @sf.rule()
     def an_allowance_is_always_there_at_last(self):
-        self.now += credits.WINDOW + 1
+        self.now += retry_budget.WINDOW_MS + 1
         assert self.r.spend(self.now, 20, 2)
         self.again.append(self.now)
 
@@ -183,10 +183,10 @@
 )
 TestAgreement = Agreement.TestCase
 TestAgreement.settings = _few
-TestLines = Lines.TestCase
-TestLines.settings = hypothesis.settings(derandomize=True, deadline=None, max_examples=100)
-TestCredits = Credits.TestCase
-TestCredits.settings = TestLines.settings
+TestQueues = Queues.TestCase
+TestQueues.settings = hypothesis.settings(derandomize=True, deadline=None, max_examples=100)
+TestRetryBudgets = RetryBudgets.TestCase
+TestRetryBudgets.settings = TestQueues.settings
 
 
 @hypothesis.settings(derandomize=True, deadline=None)
@@ -194,16 +194,16 @@
     st.integers(0, 1000), st.sets(st.text("abcdef", min_size=1, max_size=4), min_size=1, max_size=12)
 )
 def test_shares_sum_to_the_whole(total, seats):
-    assert sum(credits.share(total, seats, s) for s in seats) == total
-    assert credits.share(total, seats, "stranger") == 0
+    assert sum(retry_budget.member_share(total, seats, s) for s in seats) == total
+    assert retry_budget.member_share(total, seats, "stranger") == 0
 
 
 def test_an_urgent_line_comes_first_and_a_slow_one_is_not_starved():
-    ls = lines.Lines()
+    ls = queues.Queues()
     for n in range(2000):
         for line, u in (("fast", 9), ("slow", 1)):
             rule = collections.namedtuple("Rule", "urgency")(u)
-            ls.put(query.Query(f"{line}{n}", line, "s", "m", {}, 0, 0, rule))
-    got = [ls.take(lambda q: True).line for _ in range(1000)]
+            ls.put(request.Request(f"{line}{n}", line, "s", "m", {}, 0, 0, rule))
+    got = [ls.take(lambda q: True).queue for _ in range(1000)]
     assert got[0] == "fast"
     assert 2 <= got.count("slow") <= 10
--- a/tests/test_mutations.py
+++ b/tests/test_mutations.py
@@ -2,34 +2,34 @@
 
 import pytest
 
-import basaltport.admin.desk as desk
-import basaltport.replica_client.pieces as pieces
-import basaltport.events as events
+import basaltport.query_api.admin.leader_requests as leader_requests
+import basaltport.query_api.replica_client.pieces as pieces
+import basaltport.query_api.events as events
 import basaltport.consensus.elect as elect
 import basaltport.consensus.feed as feed
 import basaltport.consensus.lead as lead
 import basaltport.consensus.seat as seat
-import basaltport.query_api.query_proxy.model_readiness as model_readiness
+import basaltport.query_api.query_proxy.retries as retries
 import basaltport.simulation.query_api.standins.backend as backend
 import basaltport.simulation.query_api.scenarios.scenarios as scenarios
-import basaltport.query_api.query_proxy.claims as claims
-import basaltport.query_api.query_proxy.comeback as comeback
-import basaltport.query_api.query_proxy.dispatch as dispatch
-import basaltport.query_api.query_proxy.interp as interp
+import basaltport.query_api.query_proxy.key_claims as key_claims
+import basaltport.query_api.query_proxy.final_answers as final_answers
+import basaltport.query_api.query_proxy.attempts as attempts
+import basaltport.query_api.query_proxy.admission as admission
 import basaltport.query_api.cell.cell as cell
-import basaltport.query_api.zone_controller.slots as slots
-import basaltport.query_api.zone_controller.store as store
-import basaltport.query_api.zone_controller.zone as zone
+import basaltport.query_api.zone_controller.slot_grants as slot_grants
+import basaltport.query_api.zone_controller.load_permits as load_permits
+import basaltport.query_api.zone_controller.placement as placement
 
 
-def _resend_all(self, q, why):
-    q.resent = False
-    self.requeue(q, why)
+def _retry_all(self, q):
+    q.retried = False
+    self.requeue(q)
     return True
 
 
 def _broken_is_refused(self, q, run, ev):
-    self.refuse_id(q.id, 503, "replica-refused", ev.detail)
+    self.reject_id(q.id, 503, "replica-refused", ev.detail)
 
 
 def _eager_lease(self, s, r):
@@ -89,13 +89,18 @@
     return op
 
 
+def _grant_all(self, m):
+    return dict(m.wanted)
+
+
 def _never(self, s):
     return False
 
 
 def _ask_first(self, q, run):
     """Every timed-out query awaits the controller, also one that can't be resent."""
-    self.doubts[self.ask(q.item, self.zone_of(run.replica), False)] = (q, run, self.now + 400)
+    number = self.request_status(q.item, self.zone_of(run.replica_id), False)
+    self.timeout_checks[number] = retries.TimeoutCheck(q, run, self.now + 400)
 
 
 def _no_time(self, q):
@@ -103,20 +108,20 @@
 
 
 def _held_at_once(self, q):
-    self.claim_held(q)
+    self.claim_granted(q)
 
 
 def _trusting(self, doc):
     if doc.get("end"):
-        return "end", self.n, None
-    self.n += 1
-    return "piece", self.n - 1, doc.get("piece")
+        return pieces.Line(pieces.Kind.END, self.next_number)
+    self.next_number += 1
+    return pieces.Line(pieces.Kind.PIECE, self.next_number - 1, doc.get("piece"))
 
 
 def _clean_end(self, e, st, outcome):
     """A stream that broke off is closed as if it were whole."""
-    self.closed(e.query, "done", 200, {"reply": e.body["prompt"], "pieces": st["pieces"]})
-    return events.Replied(self.now, e.dispatch, "done", 200)
+    self.closed(e.request_id, "done", 200, {"reply": e.body["prompt"], "pieces": st["pieces"]})
+    return events.AttemptEnded(self.now, e.attempt_id, "done", 200)
 
 
 def _reply_other(self, n, life, e, st):
@@ -129,19 +134,22 @@
 
 LEAD = lead.LeadMixin
 CASES = [
-    ("once-only", "replicas-sick", 1, [(model_readiness.ReadinessMixin, "resend", _resend_all)]),
-    ("refusal", "replicas-sick", 1, [(dispatch.DispatchMixin, "was_broken", _broken_is_refused)]),
-    ("final-word", "replicas-dark", 1, [(model_readiness.ReadinessMixin, "timed_out", _ask_first)]),
+    ("once-only", "replicas-sick", 1, [(retries.RetriesMixin, "retry", _retry_all)]),
+    ("refusal", "replicas-sick", 1, [(attempts.AttemptsMixin, "attempt_broken", _broken_is_refused)]),
+    ("final-word", "replicas-dark", 1, [(retries.RetriesMixin, "timed_out", _ask_first)]),
     (
         "final-word",
         "replicas-sick",
         1,
-        [(comeback, "AGAIN", 0), (comeback.ComebackMixin, "come_back", _no_time)],
+        [
+            (final_answers, "MIN_RETRY_AFTER_MS", 0),
+            (final_answers.FinalAnswersMixin, "estimate_retry_after", _no_time),
+        ],
     ),
     ("reply", "calm", 1, [(backend.BackendMixin, "reply", _reply_other)]),
-    ("once-only", "calm", 1, [(interp.InterpMixin, "do_claim", lambda self, q, arg, ev: None)]),
-    ("once-only", "rostrum-killed", 1, [(claims.ClaimMixin, "weigh_claim", _held_at_once)]),
-    ("stream", "replicas-torn", 1, [(pieces.Pieces, "take", _trusting)]),
+    ("once-only", "calm", 1, [(admission.AdmissionMixin, "admit_claim", lambda self, q, arg, ev: None)]),
+    ("once-only", "rostrum-killed", 1, [(key_claims.KeyClaimsMixin, "weigh_claim", _held_at_once)]),
+    ("stream", "replicas-torn", 1, [(pieces.PieceReader, "take", _trusting)]),
     ("stream", "streams-cut", 1, [(backend.BackendMixin, "broke_off", _clean_end)]),
     ("leaving", "replica-leaves", 1, [(cell.CellMixin, "may_use", _use_all)]),
     ("emptied", "zone-emptied", 1, [(cell.CellMixin, "may_use", _use_all)]),
@@ -149,17 +157,22 @@
     ("in-force", "storm", 1, [(LEAD, "settle", _hasty)]),
     ("in-force", "power-cut", 5, [(LEAD, "echo_for", _eager_lease)]),
     ("in-force", "ledgers-dying", 1, [(LEAD, "heard_of", _all_live), (lead, "STUCK", 10**9)]),
-    ("lost-update", "storm", 1, [(desk.DeskMixin, "manifest_op", _no_compare)]),
+    ("lost-update", "storm", 1, [(leader_requests.LeaderRequestsMixin, "manifest_op", _no_compare)]),
     ("acknowledged", "core-split", 1, [(LEAD, "count", _alone), (LEAD, "behind", _never)]),
     (
         "resend",
         "replicas-sick",
         1,
-        [(dispatch.DispatchMixin, "resend_credit", lambda self, q, spend=True: True)],
+        [(attempts.AttemptsMixin, "retry_credit", lambda self, q, spend=True: True)],
+    ),
+    ("flood", "replicas-restart", 1, [(slot_grants.SlotGrantsMixin, "slot_limit", lambda self, p: 8)]),
+    (
+        "store",
+        "cold-storm",
+        1,
+        [(load_permits.LoadPermitsMixin, "share_permits", _grant_all)],
     ),
-    ("flood", "replicas-restart", 1, [(slots.SlotMixin, "slot_limit", lambda self, p: 8)]),
-    ("store", "cold-storm", 1, [(store.StoreMixin, "share_permits", lambda self, m: dict(m.want))]),
-    ("room", "cold-storm", 1, [(zone.StewardMixin, "free", lambda self, p: 1000)]),
+    ("room", "cold-storm", 1, [(placement.PlacementMixin, "free", lambda self, p: 1000)]),
     ("read", "core-split", 5, [(LEAD, "settle", _unconfirmed), (LEAD, "tick_lead", _lead_on)]),
     ("back", "leader-killed", 1, [(elect.ElectMixin, "patience", lambda self: 30_000)]),
 ]
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -5,14 +5,14 @@
 
 
 def _codes(out):
-    return [(c.body["error"], c.body["ran"]) for c in node.closes(out)]
+    return [(c.body["error"], c.body["ran"]) for c in node.final_answers(out)]
 
 
 def test_a_full_line_and_an_empty_pool_refuse_at_once_with_a_time_to_come_back():
     n = node.Node(bound=6)
     out = [e for _ in range(5) for e in n.query()]
     assert _codes(out) == [("line-full", "no")] * 2
-    assert all(c.retry_after > 0 for c in node.closes(out))
+    assert all(c.retry_after_ms > 0 for c in node.final_answers(out))
     m = node.manifest()
     m["pools"]["p"]["waiting"] = 4
     n = node.Node(m)
@@ -21,21 +21,21 @@
 
 def test_what_cannot_be_answered_within_its_patience_is_refused_at_once():
     n = node.warm(node.Node())
-    n.r.service["m"] = 1000
+    n.r.service_times["m"] = 1000
     n.grant("x1", 1)
-    assert len(node.dispatches(n.query(deadline=1500))) == 1
-    assert not node.closes(n.query(deadline=2500))
+    assert len(node.attempts(n.query(deadline=1500))) == 1
+    assert not node.final_answers(n.query(deadline=2500))
     assert _codes(n.query(deadline=2400)) == [("too-busy", "no")]
 
 
 def test_a_waiting_query_is_refused_while_it_could_still_be_told_in_time():
     n = node.warm(node.Node())
-    n.r.service["m"] = 1000
+    n.r.service_times["m"] = 1000
     n.grant("x1", 1)
     n.query()
     n.query(deadline=2000)
     t0 = n.now
-    while not node.closes(n.tick(25)):
+    while not node.final_answers(n.tick(25)):
         assert n.now - t0 < 2000
     assert n.now - t0 == 1500
 
@@ -45,8 +45,8 @@
     n.grant("x1", 0)
     for who in ("anna", "anna", "anna", "bela"):
         n.query(who=who)
-    out = node.dispatches(n.grant("x1", 2))
-    assert [d.query for d in out] == ["q2", "q5"]
+    out = node.attempts(n.grant("x1", 2))
+    assert [d.request_id for d in out] == ["q2", "q5"]
 
 
 def test_one_load_however_many_rostrums_ask():
@@ -59,7 +59,7 @@
     loads = [r for r in w.trace if r["k"] == "load" and r["item"] == "birch"]
     assert len(loads) == 1
     assert [q["outcome"] for q in w.queries.values()] == ["done"] * 25
-    asks = sum(n.member.ask_n for n in w.live())
+    asks = sum(n.member.status_request_number for n in w.live())
     assert asks <= 5 * 12
 
 
--- a/tests/test_wires.py
+++ b/tests/test_wires.py
@@ -7,8 +7,8 @@
 import aiohttp
 import pytest
 
-import basaltport.replica_client.adapter as adapter
-import basaltport.events as events
+import basaltport.query_api.replica_client.adapter as adapter
+import basaltport.query_api.events as query_events
 import basaltport.frames as frames
 import basaltport.wires as wires
 import basaltport.sockets as sockets
@@ -64,14 +64,16 @@
 
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
-    a = adapter.Adapter(lambda d: 9)
+    a = adapter.ReplicaClient(lambda d: 9)
     await a.start()
     out, sink = [], Sink()
     for i in range(n):
         if method:
-            out.append(await a.ask(method, f"http://127.0.0.1:{port}/state"))
+            out.append(await a.call(method, f"http://127.0.0.1:{port}/state"))
             continue
-        d = events.Dispatch(f"q.{i}", "q", "x", f"http://127.0.0.1:{port}", {"prompt": "p"}, 1, 5000, 5000)
+        d = query_events.StartAttempt(
+            f"q.{i}", "q", "x", f"http://127.0.0.1:{port}", {"prompt": "p"}, 1, 5000, 5000
+        )
         out.append(await a.run(d, sink))
     await a.stop()
     server.close()
@@ -96,20 +98,20 @@
     """The danger is real: with the library's own resend left on, a third request is seen."""
 
     async def run():
-        start = adapter.Adapter.start
+        start = adapter.ReplicaClient.start
 
         async def with_resend(self):
             await start(self)
             self.session._retry_connection = True
 
-        adapter.Adapter.start = with_resend
+        adapter.ReplicaClient.start = with_resend
         try:
             ok = (
                 b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nX: keep\r\nContent-Length: 2\r\n\r\n{}"
             )
             return await _against(lambda n: ok if n != 2 else None, 2, "GET")
         finally:
-            adapter.Adapter.start = start
+            adapter.ReplicaClient.start = start
 
     _, seen, _ = asyncio.run(run())
     assert len(seen) == 3
@@ -152,9 +154,9 @@
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
-        a = adapter.Adapter(lambda d: None)
+        a = adapter.ReplicaClient(lambda d: None)
         await a.start()
-        d = events.Dispatch("q.0", "q", "x", f"http://127.0.0.1:{port}", {}, 1, 1000, 1000)
+        d = query_events.StartAttempt("q.0", "q", "x", f"http://127.0.0.1:{port}", {}, 1, 1000, 1000)
         got = await a.run(d, Sink())
         await a.stop()
         server.close()
@@ -197,11 +199,11 @@
                 heads = {"Authorization": "Bearer example-desk"}
                 body = {"model": "alder", "prompt": "p"}
                 t = asyncio.create_task(s.post(f"http://{h.r.me.http}{Q}", json=body, headers=heads))
-                await live.until(lambda: m.runs)
+                await live.until(lambda: m.attempts)
                 assert sum(x.using for x in m.slots.values()) == 1
                 t.cancel()
-                await live.until(lambda: not m.runs)
-            return sum(x.using for x in m.slots.values()), dict(m.tally), len(m.queries)
+                await live.until(lambda: not m.attempts)
+            return sum(x.using for x in m.slots.values()), dict(m.outcome_counts), len(m.requests)
 
     using, tally, left = asyncio.run(run())
     assert using == 0 and left == 0 and tally["sender-gone"] == 1
@@ -354,12 +356,12 @@
                     body = {"model": "alder", "prompt": "a b c", "stream": stream}
                     heads["Idempotency-Key"] = f"k{stream}"
                     t = asyncio.create_task(s.post(url, json=body, headers=heads))
-                    await live.until(lambda: m.runs)
+                    await live.until(lambda: m.attempts)
                     t.cancel()
-                    await live.until(lambda: any(q.gone for q in m.queries.values()))
+                    await live.until(lambda: any(q.client_gone for q in m.requests.values()))
                     for x in h.standins.served.values():
                         x.set_fault("")
-                    await live.until(lambda: not m.queries)
+                    await live.until(lambda: not m.requests)
                     other = f"http://{h.hosts['rostrum-2'].me.http}{Q}"
                     async with s.post(other, json=body, headers=heads) as r:
                         out.append((r.status, r.headers["Basaltport-Ran"], (await r.text()).split("\n")[-2:]))
