--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -34,7 +34,7 @@
     urgency = 5
 
 
-class Keeper(
+class Controller(
     key_claims.KeyClaimsMixin, key_holder.KeyHolderMixin, final_answers.FinalAnswersMixin, member.Member
 ):
     """Only what keys need of a rostrum; a held claim is handed to the house."""
@@ -81,7 +81,7 @@
         return {"name": name, "seat": seat, "role": "rostrum", "zone": "z", "addr": seat, "http": seat}
 
     def start(self, seat):
-        k = Keeper(self, seat.split("-")[0], seat)
+        k = Controller(self, seat.split("-")[0], seat)
         k.book = self.log[-1][1]
         k.join_ranges()
         return k
