--- a/basaltport/proxy/interfaces.py
+++ b/basaltport/proxy/interfaces.py
@@ -31,7 +31,7 @@
     waiting: dict[int, request.Request]
     tally: dict[str, int]
     health: dict[str, replica_health.Health]
-    first: dict[str, float]
+    first_byte_ms: dict[str, float]
 
     def emit(self, effect: object) -> None:
         """An effect of this step."""
--- a/basaltport/proxy/model_readiness.py
+++ b/basaltport/proxy/model_readiness.py
@@ -1,18 +1,23 @@
-"""ADR 0041 for routes: the keeper's facts of an item, one shared wait for it here, polls at its spacing."""
+"""ADR 0041 for routes: what the placement says of items that nobody holds, and when it may be asked of them.
+
+A held item stands in the feed, which is the placement's own word; only others are asked for. The rules are
+those of `cold_start.decision`, with its policy for routes.
+"""
 
 import collections.abc
+import dataclasses
 import typing
 
-import basaltport.identifiers as identifiers
+import basaltport.cold_start.decision as cold_start
 import basaltport.cold_start.limits as limits
 import basaltport.proxy.interfaces as interfaces
 import basaltport.proxy.request as request
 
-AGAIN = 250
-WEIGHT = 4
-FAR_MORE = 2
-RUN_KEPT = 0.9
-LONG_AGO = identifiers.Millis(-(10**9))
+RETRY_AFTER_DEFAULT_MS = 250
+LEAST_URGENT_WEIGHT = 4
+"""A request of urgency 0 counts as so many in the demand that is told; each step of urgency takes one off."""
+FIRST_BYTE_KEPT = 0.9
+"""The share of the old value in the smoothed time to first bytes."""
 
 if typing.TYPE_CHECKING:
     Needs = interfaces.NodeInterface
@@ -20,42 +25,54 @@
     Needs = object
 
 
-class Fact:
-    """What the keeper last said of an item; `asked`: when it was last asked; `next`: when it may be again;
-    `told`: the weight of what waited then."""
+@dataclasses.dataclass(slots=True)
+class ItemStatus:
+    """What the placement last said of an item, and when it may be asked again."""
+
+    state: str = cold_start.LoadState.UNKNOWN
+    expected_load_ms: int = 0
+    retry_after_ms: int = RETRY_AFTER_DEFAULT_MS
+    schedule: cold_start.AskSchedule = cold_start.AskSchedule()
+
+    def asked(self, now: int, demand: int) -> None:
+        """The placement is being asked, and told of a demand."""
+        next_ask_at = now + limits.poll_spacing_ms(self.retry_after_ms)
+        self.schedule = cold_start.AskSchedule(now, next_ask_at, demand)
 
-    __slots__ = ("state", "expected", "retry", "asked", "next", "told")
+    def answered(self, now: int, answer: collections.abc.Mapping[str, typing.Any]) -> None:
+        """The placement's answer came."""
+        self.state = answer["state"]
+        self.expected_load_ms = answer.get("expected_ms", 0)
+        self.retry_after_ms = limits.poll_spacing_ms(answer.get("retry_after_ms", RETRY_AFTER_DEFAULT_MS))
+        asked_at, next_ask_at, demand = self.schedule
+        answered = cold_start.next_ask_at(cold_start.ROUTES, asked_at, now, self.retry_after_ms)
+        self.schedule = cold_start.AskSchedule(asked_at, max(next_ask_at, answered), demand)
 
-    def __init__(self) -> None:
-        """It was not asked yet."""
-        self.state = ""
-        self.expected = 0
-        self.retry = AGAIN
-        self.asked = LONG_AGO
-        self.next = identifiers.Millis(0)
-        self.told = 0
+    def ask_at_once(self) -> None:
+        """The placement may be asked without waiting for its spacing."""
+        self.schedule = self.schedule._replace(next_ask_at=0)
 
 
 class ReadinessMixin(Needs):
-    """A held item stands in the feed, which is the keeper's word; only others are asked for."""
+    """Requests of an item that nobody holds share one wait for it."""
 
     def readiness_start(self) -> None:
         """Nothing is known yet."""
-        self.facts: dict[str, Fact] = {}
-        self.first: dict[str, float] = {}
+        self.item_statuses: dict[str, ItemStatus] = {}
+        self.first_byte_ms: dict[str, float] = {}
 
-    def fact(self, item: str) -> Fact:
-        """What the keeper last said of an item."""
-        fact = self.facts.get(item)
-        if fact is None:
-            fact = self.facts[item] = Fact()
-        return fact
+    def item_status(self, item: str) -> ItemStatus:
+        """What the placement last said of an item."""
+        status = self.item_statuses.get(item)
+        if status is None:
+            status = self.item_statuses[item] = ItemStatus()
+        return status
 
     def expected(self, waiting: request.Request) -> float:
-        """Ms that a load of a request's item is expected to take."""
-        fact = self.facts.get(waiting.item)
-        if fact and fact.expected:
-            return fact.expected
+        """Milliseconds that a load of a request's item is expected to take; 0 where that is not known."""
+        status = self.item_statuses.get(waiting.item)
+        if status and status.expected_load_ms:
+            return status.expected_load_ms
         service = self.table.services.get(waiting.service)
         if service is None or service.items is None:
             return 0
@@ -65,60 +82,66 @@
         return service.items.get(model, 0)
 
     def limit(self, waiting: request.Request) -> float:
-        """When the shared wait ends for a request: the source's limit, never past the client's deadline."""
-        longest: float = limits.limit(0, self.expected(waiting))
-        return min(waiting.until, waiting.born + longest)
+        """When the shared wait ends for a request."""
+        wait = cold_start.Wait(waiting.born, waiting.until, 0, self.expected(waiting))
+        return cold_start.wait_ends_at(cold_start.ROUTES, wait)
+
+    def on_waiting_arrival(self, arrived: request.Request) -> cold_start.Arrival:
+        """Whether a request of an item may go out, waits for its load, or can't outlast that."""
+        if self.held(arrived):
+            return cold_start.Arrival.SEND
+        return cold_start.on_arrival(
+            is_warm=False,
+            may_be_held=False,
+            remaining_ms=arrived.until - self.now,
+            expected_load_ms=self.expected(arrived),
+        )
 
     def ask_missing(self) -> None:
-        """Ask the keeper, which also orders loads, for all items that requests wait for and nobody holds.
-        What waits is told by weight: one urgent request counts as several that can wait."""
-        missing: dict[str, int] = {}
+        """Ask the placement, which also orders loads, for all items that requests wait for and nobody holds.
+        The demand is told by weight: one urgent request counts as several that can wait."""
+        demand: dict[str, int] = {}
         for waiting in self.waiting.values():
             if waiting.item and not self.held(waiting):
-                weight = max(1, WEIGHT - waiting.route.urgency)
-                missing[waiting.item] = missing.get(waiting.item, 0) + weight
-        due = {i: n for i, n in missing.items() if self.due(self.fact(i), n)}
+                weight = max(1, LEAST_URGENT_WEIGHT - waiting.route.urgency)
+                demand[waiting.item] = demand.get(waiting.item, 0) + weight
+        due = {item: weight for item, weight in demand.items() if self.may_ask(item, weight)}
         if not due:
             return
         for item, weight in due.items():
-            fact = self.fact(item)
-            fact.asked, fact.told = self.now, weight
-            fact.next = identifiers.Millis(self.now + max(limits.POLL, fact.retry))
+            self.item_status(item).asked(self.now, weight)
         self.want(due)
 
-    def due(self, fact: Fact, weight: int) -> bool:
-        """At the keeper's spacing; sooner where far more wait than it was told."""
-        if self.now >= fact.next:
-            return True
-        return weight >= FAR_MORE * fact.told and self.now - fact.asked >= limits.POLL
+    def may_ask(self, item: str, demand: int) -> bool:
+        """Whether the placement may be asked for an item now."""
+        schedule = self.item_status(item).schedule
+        return cold_start.may_ask(cold_start.ROUTES, schedule, self.now, demand)
 
     def on_facts(self, items: collections.abc.Mapping[str, interfaces.Row]) -> None:
-        """The keeper's facts came."""
-        for item, told in items.items():
-            fact = self.fact(item)
-            fact.state = told["state"]
-            fact.expected = told.get("expected_ms", 0)
-            fact.retry = max(limits.POLL, told.get("retry_after_ms", AGAIN))
-            fact.next = identifiers.Millis(max(fact.next, fact.asked + fact.retry))
-            if fact.state in ("loaded", "loading"):
+        """The placement's answers came, by item."""
+        for item, answer in items.items():
+            status = self.item_status(item)
+            status.answered(self.now, answer)
+            if cold_start.after_answer(status.state) is not cold_start.WaitStep.END:
                 continue
             for waiting in [w for w in self.waiting.values() if w.item == item and not self.held(w)]:
-                self.refuse(waiting, "unavailable", fact.retry)
+                self.refuse(waiting, "unavailable", status.retry_after_ms)
         self.pump()
 
     def after_timeout(self, run: request.Run) -> None:
-        """The keeper is asked once of the item, without waiting for its spacing."""
+        """The placement is asked once of the item, without waiting for its spacing (ADR 0041, section 4)."""
         if run.item:
-            self.fact(run.item).next = identifiers.Millis(0)
+            self.item_status(run.item).ask_at_once()
             self.want({run.item: 0})
 
     def typical(self, service: str) -> float:
-        """Smoothed ms to the first bytes of a service's answers, 0 if unknown."""
-        return self.first.get(service, 0)
+        """Smoothed milliseconds to the first bytes of a service's answers, 0 if unknown."""
+        return self.first_byte_ms.get(service, 0)
 
     def took(self, run: request.Run) -> None:
         """First bytes of an attempt came."""
-        ms = self.now - run.sent
-        self.health_of(run.replica).took(ms)
-        was = self.first.get(run.service, 0)
-        self.first[run.service] = ms if not was else RUN_KEPT * was + (1 - RUN_KEPT) * ms
+        elapsed_ms = self.now - run.sent
+        self.health_of(run.replica).took(elapsed_ms)
+        before = self.first_byte_ms.get(run.service, 0)
+        smoothed = FIRST_BYTE_KEPT * before + (1 - FIRST_BYTE_KEPT) * elapsed_ms
+        self.first_byte_ms[run.service] = smoothed if before else elapsed_ms
--- a/basaltport/proxy/node.py
+++ b/basaltport/proxy/node.py
@@ -4,6 +4,7 @@
 import dataclasses
 import random
 
+import basaltport.cold_start.decision as cold_start
 import basaltport.events as base
 import basaltport.fleet.follow as follow
 import basaltport.identifiers as identifiers
@@ -208,12 +209,9 @@
 
     def do_time(self, arrived: request.Request, ev: events.Arrived) -> Refusal | None:
         """Fails before sending where the time left cannot cover the expected load."""
-        if not arrived.item or self.held(arrived):
+        if not arrived.item or self.on_waiting_arrival(arrived) is not cold_start.Arrival.FAIL:
             return None
-        expected = self.expected(arrived)
-        if not expected or arrived.until - self.now >= expected:
-            return None
-        return Refusal("a load takes longer than the time that is left", int(expected))
+        return Refusal("a load takes longer than the time that is left", int(self.expected(arrived)))
 
     def do_queue(self, arrived: request.Request, ev: events.Arrived) -> Refusal | None:
         """Into the queue."""
@@ -296,7 +294,7 @@
 
     def come_back(self, waiting: request.Request) -> int:
         """When a refused client may come back, in ms."""
-        return max(attempt.SOON, self.fact(waiting.item).retry if waiting.item else 0)
+        return max(attempt.SOON, self.item_status(waiting.item).retry_after_ms if waiting.item else 0)
 
     # the end
 
--- a/basaltport/proxy/retry_decision.py
+++ b/basaltport/proxy/retry_decision.py
@@ -3,6 +3,7 @@
 import dataclasses
 import enum
 
+import basaltport.cold_start.decision as cold_start
 import basaltport.proxy.attempt_outcome as attempt_outcome
 
 Outcome = attempt_outcome.Outcome
@@ -111,11 +112,12 @@
 def affordable(known: Known) -> bool:
     """Whether time, bounds and budget let it go again. A replica that only refused it may be asked again,
     though the route lets it go to no other."""
-    if not known.time or not known.sends:
-        return False
-    if not known.replicas and known.outcome is not Outcome.REFUSED:
-        return False
-    return known.budget or known.outcome is Outcome.UNSENT and not known.arrived
+    has_replica = known.replicas or known.outcome is Outcome.REFUSED
+    is_free = known.outcome is Outcome.UNSENT and not known.arrived
+    bounds = cold_start.ResendBounds(
+        has_attempts=known.sends and has_replica, in_time=known.time, in_budget=known.budget or is_free
+    )
+    return bounds.allow()
 
 
 def passable(known: Known) -> bool:
--- a/basaltport/proxy/status_pages.py
+++ b/basaltport/proxy/status_pages.py
@@ -92,7 +92,7 @@
     out.health = {r: _health(known) for r, known in relay.health.items() if r in relay.rows}
     out.requests, out.waiting, out.retries = dict(relay.requests), dict(relay.waiting), {}
     out.used, out.tally = {}, {}
-    out.facts = {item: copy.copy(fact) for item, fact in relay.facts.items()}
+    out.item_statuses = {item: copy.copy(status) for item, status in relay.item_statuses.items()}
     return out
 
 
@@ -158,12 +158,12 @@
     picked = relay.pick(asked)
     if picked is not None:
         return {**doc, "outcome": "sent", "replica": picked, "address": relay.rows[picked]["address"]}
-    fact = relay.facts.get(asked.item)
+    status = relay.item_statuses.get(asked.item)
     held = not asked.item or relay.held(asked)
     why = "every replica that holds it is busy" if held else "no replica that is open holds it"
     doc |= {"outcome": "waits", "why": why, "at_most_ms": int(relay.limit(asked) - relay.now)}
     expected_ms = int(relay.expected(asked)) if asked.item else 0
-    return {**doc, "fact": fact.state if fact else "", "expected_ms": expected_ms}
+    return {**doc, "fact": str(status.state) if status else "", "expected_ms": expected_ms}
 
 
 def admit(relay: node.ProxyNode, asked: request.Request, arrived: events.Arrived) -> node.Refusal | None:
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -117,7 +117,7 @@
 
 def test_what_waits_is_refused_as_soon_as_it_is_too_late_not_at_the_deadline():
     s = Sim([row("a", models=())])
-    s.m.first["write"] = 400
+    s.m.first_byte_ms["write"] = 400
     s.ask("once", deadline=2000)
     got = s.wait(2000)
     assert [type(e) for e in got] == [events.Close]
--- a/tests/test_style.py
+++ b/tests/test_style.py
@@ -19,7 +19,7 @@
 # What is not held to STRICT_RULES and to mypy yet. A name is taken out once it is done; none is ever added.
 NOT_DONE = {
     *(f"basaltport/{name}/**" for name in (
-        "admin consensus controller cold_start scale simulation "
+        "admin consensus controller scale simulation "
         "query_api/query_proxy query_api/zone_controller"
     ).split()),
     *(f"basaltport/{name}.py" for name in (
@@ -30,8 +30,8 @@
 
 
 # What may know the older path, the JSON API of queries, beside itself: roots that put processes together.
-# `cold_start` is taken out once its routine serves both paths; none is ever added.
-KNOWS_QUERY_API = {"main.py", "host.py", "daemon.py", "simulation", "cold_start"}
+# None is ever added.
+KNOWS_QUERY_API = {"main.py", "host.py", "daemon.py", "simulation"}
 
 
 def module_of(pattern):
