--- a/basaltport/controller/role.py
+++ b/basaltport/controller/node.py
@@ -5,8 +5,8 @@
 import basaltport.consensus.seat as seat
 import basaltport.consensus.voters as voters
 import basaltport.fleet.publish as publish
-import basaltport.controller.desk as desk
-import basaltport.controller.duties as duties
+import basaltport.controller.operator_requests as desk
+import basaltport.controller.shard_ownership as duties
 import basaltport.member as member
 import basaltport.placement.effects as effects
 import basaltport.placement.machine as machine
--- a/tests/stored_forms.py
+++ b/tests/stored_forms.py
@@ -260,7 +260,7 @@
         )
     )
     importlib.import_module("basaltport.fleet.messages")
-    importlib.import_module("basaltport.controller.duties")
+    importlib.import_module("basaltport.controller.shard_ownership")
     held = {}
     for name, (log, at, tail, batches) in disk_scripts().items():
         path = DISKS / name
--- a/tests/test_control_scenarios.py
+++ b/tests/test_control_scenarios.py
@@ -6,8 +6,8 @@
 import basaltport.consensus.elect as elect
 import basaltport.consensus.feed as feed
 import basaltport.consensus.timing as timing
-import basaltport.controller.desk as desk
-import basaltport.controller.role as role
+import basaltport.controller.operator_requests as desk
+import basaltport.controller.node as role
 import basaltport.simulation.routes.control as control
 import basaltport.simulation.routes.control_losses as control_losses
 import basaltport.simulation.routes.control_play as control_play
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -9,7 +9,7 @@
 import basaltport.consensus.journal as journal
 import basaltport.consensus.member_identity as member_identity
 import basaltport.consensus.record_framing as record_framing
-import basaltport.controller.duties as duties
+import basaltport.controller.shard_ownership as duties
 import basaltport.fleet.messages as fleet_messages
 import basaltport.frames as frames
 import basaltport.identifiers as identifiers
