--- a/basaltport/controller/node.py
+++ b/basaltport/controller/node.py
@@ -20,8 +20,8 @@
 PUT_OFF = 2000
 
 
-class Keeper(
-    duties.DutiesMixin,
+class Controller(
+    duties.ShardOwnershipMixin,
     campaign.CampaignMixin,
     desk.DeskMixin,
     publish.PublishMixin,
--- a/tests/test_control_scenarios.py
+++ b/tests/test_control_scenarios.py
@@ -74,7 +74,7 @@
 
 # mutations
 
-_judged, _load_for, _in_force = desk.DeskMixin.judged, feed.FeedMixin.load_for, role.Keeper.in_force
+_judged, _load_for, _in_force = desk.DeskMixin.judged, feed.FeedMixin.load_for, role.Controller.in_force
 
 
 def _read_without_majority(self, src, call, verb, body, at, got=None):
@@ -134,7 +134,7 @@
     ("holder-behind", "leader-cut-20s", NEVER_STEPS_DOWN),
     ("old-given", "leader-cut-20s", NEVER_STEPS_DOWN),
     ("wrongly-refused", "leader-cut-20s", [(*JUDGED, _refuses_some)]),
-    ("keeper-back", "leader-cut-20s", [(role.Keeper, "in_force", _falls_back)]),
+    ("keeper-back", "leader-cut-20s", [(role.Controller, "in_force", _falls_back)]),
     ("two-confirmed", "two-operators-one-number", [(*JUDGED, _no_comparison)]),
     ("refused-but-taken", "two-operators-one-number", [(*JUDGED, _taken_though_refused)]),
     ("repeat-refused", "two-operators-one-number", [(book, "_remember", _forgets_changes)]),
