--- a/basaltport/admin/fleet_cli.py
+++ b/basaltport/admin/fleet_cli.py
@@ -132,21 +132,25 @@
 
 
 def human_status(d):
-    (human_proxy if d["role"] == "proxy" else human_keeper)(d)
+    (human_proxy if d["role"] == "proxy" else human_controller)(d)
 
 
 def age(ms):
     return "never" if ms is None else f"{ms / 1000:.1f} s ago"
 
 
-def human_keeper(d):
+def human_controller(d):
     print(f"{d['name']}: leader {d['leader'] or 'none'}, generation {d['generation']}, serial {d['serial']}")
     print(f"configuration {d['edition'] or 'none yet'}; evacuated: {', '.join(d['evacuated']) or 'none'}")
     if d["leads"]:
         holds = f"holds fence {d['fence']}" if d["holds"] else "does not hold"
         print(f"{holds}; list of replicas read {age(d['list_age_ms'])}")
     section("unsettled", [{"reason": r} for r in d["unsettled"]], ["reason"])
-    section("keepers", d["keepers"], ["name", "zone", "addr", "http", "votes", "silent_ms"])
+    section(
+        "controllers",
+        d.get("controllers", d.get("keepers")),
+        ["name", "zone", "addr", "http", "votes", "silent_ms"],
+    )
     section("proxies", d["proxies"], ["name", "zone", "address", "silent_ms", "serial", "behind"])
     section("orders", d["orders"], ["replica", "goal", "for", "kind", "item", "state", "age_ms", "since_ms"])
 
--- a/basaltport/controller/admin.py
+++ b/basaltport/controller/admin_api.py
@@ -1,4 +1,4 @@
-"""The product's own HTTP for operators of keepers and proxies: GETs under /basaltport/, off the state."""
+"""The product's own HTTP for operators of controllers and proxies: GETs under /basaltport/, off the state."""
 
 import asyncio
 import importlib
@@ -8,8 +8,8 @@
 
 import aiohttp.web
 
-import basaltport.controller.pages as pages
-import basaltport.controller.view as view
+import basaltport.controller.admin_pages as pages
+import basaltport.controller.status_view as view
 import basaltport.identifiers as identifiers
 import basaltport.proxy.view as relay_view
 
@@ -19,7 +19,7 @@
 
 class Admin:
     """`pages`: {name: function of the query -> (status, document, headers)}; `samples`: () -> families as of
-    keeper.view.samples."""
+    controller.view.samples."""
 
     def __init__(self, pages, samples):
         self.pages = pages
@@ -96,12 +96,12 @@
             yield f
 
 
-# keepers
+# controllers
 
 
-def of_keeper(shell, now=identifiers.steady):
+def controller_admin(shell, now=identifiers.steady):
     """For a KeeperShell. What the leader alone knows is asked of it: 307 to it; 503 where none is known, with
-    what this keeper knows itself, as `?own=1` gives it at any time."""
+    what this controller knows itself, as `?own=1` gives it at any time."""
 
     def listed():
         return shell.listed_at
@@ -129,7 +129,7 @@
 # proxies
 
 
-def of_proxy(shell, now=identifiers.steady):
+def proxy_admin(shell, now=identifiers.steady):
     """For a RelayShell."""
 
     def explain(query):
--- a/basaltport/controller/events.py
+++ b/basaltport/controller/events.py
@@ -1,4 +1,4 @@
-"""Events of a keeper beside those of every member: what came of Placement's effects."""
+"""Events of a controller beside those of every member: what came of Placement's effects."""
 
 import dataclasses
 
--- a/basaltport/controller/role.py
+++ b/basaltport/controller/node.py
@@ -1,12 +1,12 @@
-"""The keeper: agreement among keepers, operators' asks, placement and the feed to proxies in one reducer."""
+"""The controller: consensus, operators' requests, placement and the feed to proxies in one reducer."""
 
 import basaltport.consensus.campaign as campaign
 import basaltport.consensus.roster as roster
 import basaltport.consensus.seat as seat
 import basaltport.consensus.voters as voters
 import basaltport.fleet.publish as publish
-import basaltport.controller.desk as desk
-import basaltport.controller.duties as duties
+import basaltport.controller.operator_requests as desk
+import basaltport.controller.shard_ownership as duties
 import basaltport.member as member
 import basaltport.placement.effects as effects
 import basaltport.placement.machine as machine
@@ -20,8 +20,8 @@
 PUT_OFF = 2000
 
 
-class Keeper(
-    duties.DutiesMixin,
+class Controller(
+    duties.ShardOwnershipMixin,
     campaign.CampaignMixin,
     desk.DeskMixin,
     publish.PublishMixin,
--- a/basaltport/controller/desk.py
+++ b/basaltport/controller/operator_requests.py
@@ -1,4 +1,4 @@
-"""Operators' asks at any keeper. What a leader left open is asked again of the next; every call ends."""
+"""Operators' asks at any controller. What a leader left open is asked again of the next; every call ends."""
 
 import basaltport.admin.desk as desk
 import basaltport.configuration.routes as routes
--- a/basaltport/controller/shell.py
+++ b/basaltport/controller/server.py
@@ -1,4 +1,4 @@
-"""The shell round a keeper: wires to keepers and proxies, the disk, and the platform's port for all else."""
+"""The process of a controller: its connections, its disk, and the platform's port for all else."""
 
 import asyncio
 import concurrent.futures
@@ -13,7 +13,7 @@
 import basaltport.consensus.member_identity as member_identity
 import basaltport.events as base
 import basaltport.controller.events as events
-import basaltport.controller.role as role
+import basaltport.controller.node as role
 import basaltport.identifiers as identifiers
 import basaltport.logs as logs
 import basaltport.member as member
@@ -54,7 +54,7 @@
         self.todo.put(None)
 
 
-class KeeperShell(shell.Shell):
+class ControllerServer(shell.Shell):
     """`settings`: as in docs/platform.md. `port`, the platform's: async `start(shell)`, `stop()`, `list()` ->
     rows or None, `order(effect)` -> outcome, `report(effect)` -> dict or None; if it has one, `reload()`."""
 
@@ -101,7 +101,7 @@
         )
         lease = s.get("timings", {}).get("lease_ms", role.LEASE)
         seed = random.SystemRandom().getrandbits(64)
-        self.member = role.Keeper(
+        self.member = role.Controller(
             self.me,
             seed,
             identifiers.steady(),
@@ -117,7 +117,7 @@
         self.me.seeds = list(seeds)
 
     def acts(self, e):
-        """Whether this keeper alone may send this order, as of now."""
+        """Whether this controller alone may send this order, as of now."""
         self.member.now = max(self.member.now, identifiers.steady())
         return self.member.owns(e.replica, e.fence)
 
--- a/basaltport/controller/view.py
+++ b/basaltport/controller/status_view.py
@@ -1,6 +1,6 @@
-"""What operators are shown of a keeper: pure functions of the reducer's state, which they never change.
+"""What operators are shown of a controller: pure functions of the reducer's state, which they never change.
 
-`m` is the Keeper, `now` in ms, `listed` when the list of replicas last came whole (ms) or None."""
+`m` is the Controller, `now` in ms, `listed` when the list of replicas last came whole (ms) or None."""
 
 import collections
 import copy
@@ -13,7 +13,7 @@
 
 
 def leader(m):
-    """The agreed row of whom this keeper leads or follows, or None."""
+    """The agreed row of whom this controller leads or follows, or None."""
     if m.leading:
         return m.me.row()
     if not m.hears_leader():
@@ -23,7 +23,7 @@
 
 
 def silence(m, now, row):
-    """Ms since a keeper was last heard of, None if never."""
+    """Ms since a controller was last heard of, None if never."""
     if row["name"] == m.me.name:
         return 0
     at = m.acks.get(row["seat"]) if m.leading else None
@@ -32,7 +32,7 @@
     return None if at is None else max(0, now - at)
 
 
-def keepers(m, now):
+def controllers(m, now):
     agreed = m.book["roster"]
     new = m.learners if m.leading else {}
     out = []
@@ -82,12 +82,12 @@
     if not m.settled():
         out.append("the leader's first entry is not agreed yet")
     elif not m.holds_at(now):
-        out.append("most keepers have not vouched for the leader lately")
-    for k in keepers(m, now):
+        out.append("most controllers have not vouched for the leader lately")
+    for k in controllers(m, now):
         if not k["votes"]:
-            out.append(f"keeper {k['name']} is new and has no seat yet")
+            out.append(f"controller {k['name']} is new and has no seat yet")
         elif k["silent_ms"] is None or k["silent_ms"] > SLOW_SEAT:
-            out.append(f"keeper {k['name']} is silent")
+            out.append(f"controller {k['name']} is silent")
     if m.book["manifest"] is None:
         out.append("there is no configuration yet")
     late = [p["name"] for p in proxies(m, now) if p["behind"]]
@@ -114,13 +114,14 @@
 
 def status(m, now, listed=None):
     x, g = leader(m), m.promised if m.leading or m.leader is None else m.leader.gen
-    d = {"role": "keeper", "name": m.me.name, "zone": m.me.zone, "leads": m.leading}
+    d = {"role": "controller", "name": m.me.name, "zone": m.me.zone, "leads": m.leading}
     d |= {"leader": x["name"] if x else None, "leader_address": x["http"] if x else None}
     d |= {"generation": g.text(), "serial": int(m.book["serial"]), "holds": m.holds_at(now)}
     d |= {"edition": edition(m), "evacuated": sorted(m.book["drains"])}
     d |= {"fence": None if m.placing is None else int(m.placing)}
     d |= {"list_age_ms": None if listed is None else now - listed}
-    d |= {"keepers": keepers(m, now), "proxies": proxies(m, now)}
+    d |= {"controllers": controllers(m, now), "proxies": proxies(m, now)}
+    d["keepers"] = d["controllers"]
     d |= {"orders": orders(m, now) if m.placing is not None else []}
     return {**d, "unsettled": unsettled(m, now, listed)}
 
@@ -191,7 +192,7 @@
 
 
 def members(m, now):
-    return {"members": [{"role": "keeper", **k} for k in keepers(m, now)]
+    return {"members": [{"role": "controller", **k} for k in controllers(m, now)]
             + [{"role": "proxy", **p} for p in proxies(m, now)]}  # fmt: skip
 
 
@@ -202,18 +203,21 @@
     def one(name, help, value):
         return f"basaltport_{name}", "gauge", help, (), [((), value)]
 
-    yield one("leads", "1 where this keeper leads", int(m.leading))
-    yield one("holds", "1 where this keeper leads and no other can", int(m.holds_at(now)))
+    yield one("leads", "1 where this controller leads", int(m.leading))
+    yield one("holds", "1 where this controller leads and no other can", int(m.holds_at(now)))
     yield one("led", "1 where a leader is heard, or it leads itself", int(leader(m) is not None))
     yield one("serial", "Serial of the agreed book", int(m.book["serial"]))
     yield one("edition", "Edition of the configuration in force", edition(m))
-    yield one("unsettled", "Reasons why this keeper is not settled", len(unsettled(m, now, listed)))
+    yield one("unsettled", "Reasons why this controller is not settled", len(unsettled(m, now, listed)))
     if not m.leading:
         return
-    ks = keepers(m, now)
-    yield one("keepers", "Keepers with a seat", sum(k["votes"] for k in ks))
+    ks = controllers(m, now)
+    votes = sum(k["votes"] for k in ks)
+    yield one("controllers", "Controllers that vote", votes)
+    yield one("keepers", "Former name of basaltport_controllers", votes)
     late = sum(k["silent_ms"] is None or k["silent_ms"] > SLOW_SEAT for k in ks)
-    yield one("keepers_silent", "Keepers that do not answer", late)
+    yield one("controllers_silent", "Controllers that do not answer", late)
+    yield one("keepers_silent", "Former name of basaltport_controllers_silent", late)
     yield one("proxies", "Proxies that follow", len(m.proxies))
     if listed is not None:
         yield one("list_age_seconds", "Age of the list of replicas", (now - listed) / 1000)
--- a/basaltport/fleet/follow.py
+++ b/basaltport/fleet/follow.py
@@ -38,14 +38,14 @@
 
 
 class FollowMixin(Needs):
-    """`book`: the agreed book, `rows`: replicas by id, `keepers`: addresses, `proxies`: how
+    """`book`: the agreed book, `rows`: replicas by id, `controllers`: addresses, `proxies`: how
     many live, `led_at`: when the leader was heard. Hooks: `followed`, `rows_changed`, `on_facts`, `usage`."""
 
     def follow_start(self) -> None:
         """Begin with nothing known."""
         self.book: Row = book.new()
         self.rows: Rows = {}
-        self.keepers: list[str] = []
+        self.controllers: list[str] = []
         self.proxies = 0
         self.led_at = LONG_AGO
         self.feed_gen = identifiers.Term()
@@ -82,10 +82,10 @@
             self.follow()
 
     def addresses(self) -> list[str]:
-        """Where to ask: the leader, or all keepers that are known."""
+        """Where to ask: the leader, or all controllers that are known."""
         if self.led() and self.leader_address:
             return [self.leader_address]
-        known = {*self.keepers, *self.me.seeds, self.leader_address}
+        known = {*self.controllers, *self.me.seeds, self.leader_address}
         return sorted(known - {self.me.addr, ""})
 
     def follow(self) -> None:
@@ -117,7 +117,7 @@
         self.led_at = self.now
         self.proxies = m.proxies
         if m.leader_address:
-            self.leader_address, self.keepers = m.leader_address, list(m.keepers)
+            self.leader_address, self.controllers = m.leader_address, list(m.controllers)
         was = self.book["serial"]
         self.take_book(m)
         ids = self.take_rows(m)
@@ -154,16 +154,20 @@
         return {i for i in old.keys() | new.keys() if old.get(i) != new.get(i)}
 
     def hear_redirect(self, src: str, m: messages.Redirect) -> None:
-        """A leader that steps down names nobody: all keepers are asked at once. Whoever knows no keeper yet
-        takes the word of an older term too, as it may be all that its seeds can give."""
-        if m.keepers and (m.gen >= self.feed_gen or not self.keepers):
-            self.keepers = list(m.keepers)
+        """A leader that steps down names nobody: all controllers are asked at once. Whoever knows none
+        yet takes the word of an older term too, as it may be all that its seeds can give."""
+        if m.controllers and (m.gen >= self.feed_gen or not self.controllers):
+            self.controllers = list(m.controllers)
         if self.led() and (m.address or m.gen != self.feed_gen):
             return
         if not m.address:
             self.led_at = LONG_AGO
             return
-        if m.gen >= self.feed_gen and m.address not in {self.leader_address, *self.keepers, *self.me.seeds}:
+        if m.gen >= self.feed_gen and m.address not in {
+            self.leader_address,
+            *self.controllers,
+            *self.me.seeds,
+        }:
             self.leader_address = m.address
             self.send(m.address, self.follow_of({}, {}))
 
--- a/basaltport/fleet/messages.py
+++ b/basaltport/fleet/messages.py
@@ -1,4 +1,4 @@
-"""What keepers and proxies say to each other; numbers from 40."""
+"""What controllers and proxies say to each other; numbers from 40."""
 
 import basaltport.identifiers as identifiers
 import basaltport.messages as messages
@@ -23,12 +23,12 @@
 class Update:
     """The agreed book up to `serial`: `entries` after what the proxy has, or a `copy`. Rows changed and ids
     gone after number `base` up to `n`, or with `full` all rows. Empty where nothing changed: `leader`,
-    `leader_address`, `keepers` (addresses). `proxies`: how many are live."""
+    `leader_address`, `controllers` (addresses). `proxies`: how many are live."""
 
     gen: identifiers.Term
     leader: identifiers.Name
     leader_address: str
-    keepers: list[str]
+    controllers: list[str]
     serial: identifiers.LogIndex
     entries: messages.Rows
     copy: messages.Document
@@ -42,12 +42,12 @@
 
 @messages.message(42)
 class Redirect:
-    """Of a keeper that doesn't lead: whom it follows ("" if nobody) and all keepers' addresses."""
+    """Of a controller that doesn't lead: whom it follows ("" if nobody) and all controllers' addresses."""
 
     gen: identifiers.Term
     leader: identifiers.Name
     address: str
-    keepers: list[str]
+    controllers: list[str]
 
 
 @messages.message(43)
--- a/basaltport/fleet/publish.py
+++ b/basaltport/fleet/publish.py
@@ -83,7 +83,7 @@
 
 
 class PublishNeeds(typing.Protocol):
-    """What `PublishMixin` needs of the keeper it is part of; see `consensus`."""
+    """What `PublishMixin` needs of the controller it is part of; see `consensus`."""
 
     me: member.Me
     now: identifiers.Millis
@@ -110,7 +110,7 @@
 if typing.TYPE_CHECKING:
 
     class Needs(PublishNeeds):
-        """What `super()` reaches in the keeper."""
+        """What `super()` reaches in the controller."""
 
         def lead_start(self, *args: object) -> None:
             """Begin to lead."""
@@ -140,7 +140,7 @@
         self.placement.changed.clear()
 
     def lead_start(self, *args: object) -> None:
-        """This keeper leads: proxies are told anew."""
+        """This controller leads: proxies are told anew."""
         super().lead_start(*args)
         self.publish_clear()
 
@@ -149,21 +149,21 @@
         was, gen = self.leading, self.promised
         super().step_down(why)
         if was:
-            m = messages.Redirect(gen, NOBODY, "", self.keepers())
+            m = messages.Redirect(gen, NOBODY, "", self.controllers())
             for p in self.proxies.values():
                 self.send(p.address, m)
         self.publish_clear()
 
-    def keepers(self) -> list[str]:
-        """The addresses of all keepers."""
+    def controllers(self) -> list[str]:
+        """The addresses of all controllers."""
         return sorted(r["addr"] for r in self.book["roster"].values())
 
     def hear_follow(self, src: str, m: messages.Follow) -> None:
-        """A proxy tells what it has; one that asks a keeper that does not lead is sent on."""
+        """A proxy tells what it has; one that asks a controller that does not lead is sent on."""
         if not self.leading:
             x = self.leader if self.hears_leader() else None
             gen, name, addr = (x.gen, x.name, x.addr) if x else (self.promised, NOBODY, "")
-            self.send(m.address, messages.Redirect(gen, name, addr, self.keepers()))
+            self.send(m.address, messages.Redirect(gen, name, addr, self.controllers()))
             return
         p = self.proxies.get(m.name)
         if p is None:
@@ -227,13 +227,13 @@
         entries, copy = self.book_for(p.serial)
         full, base, rows, gone = self.rows_for(p.seen)
         n = self.feed_n if self.rows_known else -1
-        keepers = self.keepers()
-        fresh = p.told != keepers
+        controllers = self.controllers()
+        fresh = p.told != controllers
         m = messages.Update(
             self.promised,
             self.me.name if fresh else NOBODY,
             self.me.addr if fresh else "",
-            keepers if fresh else [],
+            controllers if fresh else [],
             self.book["serial"],
             entries,
             copy,
@@ -244,7 +244,7 @@
             gone,
             len(self.proxies),
         )
-        p.serial, p.seen, p.told = self.book["serial"], n, keepers
+        p.serial, p.seen, p.told = self.book["serial"], n, controllers
         size = text.size(entries) + text.size(copy) + ROW_BYTES * len(rows)
         p.sent(size, self.now)
         self.send(p.address, m)
--- a/basaltport/local_fleet/__init__.py
+++ b/basaltport/local_fleet/__init__.py
@@ -1,1 +1,1 @@
-"""A whole fleet behind routes on a developer's machine: keepers, proxies and stand-in replicas."""
+"""A whole fleet behind routes on a developer's machine: controllers, proxies and stand-in replicas."""
--- a/basaltport/local_fleet/cli.py
+++ b/basaltport/local_fleet/cli.py
@@ -26,7 +26,9 @@
 def run(values: flags.FlagValues, arguments: list[str]) -> int:
     """Start the fleet, print its addresses, and stop it in the end; the exit code."""
     if os.path.isdir(values.dir) and os.listdir(values.dir):
-        print(f"--dir: {values.dir} is not empty; keepers would go on from what it holds", file=sys.stderr)
+        print(
+            f"--dir: {values.dir} is not empty; controllers would go on from what it holds", file=sys.stderr
+        )
         return BAD_INPUT
     stops: list[int] = []
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -38,7 +40,7 @@
         if not local.wait_until_up(lambda: bool(stops)):
             print(f"the fleet did not come up; see the .out files in {local.folder}", file=sys.stderr)
             return FAILED
-        print(f"keepers: {','.join(local.keepers)}\nproxy: {local.proxy}", flush=True)
+        print(f"controllers: {','.join(local.controllers)}\nproxy: {local.proxy}", flush=True)
         print(f"for a shell: . {local.path('addresses')}", flush=True)
         while time.monotonic() < end and not stops:
             time.sleep(POLL_S)
@@ -48,6 +50,6 @@
 
 
 VERBS = {
-    "local-fleet": verbs.Verb("Run keepers, a proxy and stand-in replicas on this machine.", run, define),
+    "local-fleet": verbs.Verb("Run controllers, a proxy and stand-in replicas on this machine.", run, define),
     "local-fleet-process": verbs.Verb("One process of a local fleet.", process.run, process.define),
 }
--- a/basaltport/local_fleet/engine.py
+++ b/basaltport/local_fleet/engine.py
@@ -22,7 +22,7 @@
 
 
 class Engine:
-    """The state of one replica. An order is repeated by the keeper until it is done."""
+    """The state of one replica. An order is repeated by the controller until it is done."""
 
     def __init__(self, load_s: float) -> None:
         """Start with nothing loaded; a model is loaded within `load_s` seconds."""
@@ -50,7 +50,7 @@
         return model in self.models and (not adapter or adapter in self.models[model])
 
     def report(self) -> dict[str, typing.Any]:
-        """What a keeper reads: the models held, whether an order runs, and how many were taken."""
+        """What a controller reads: the models held, whether an order runs, and how many were taken."""
         return {"models": self.models, "busy": bool(self.started), "orders": self.orders}
 
     def _duration(self, order: Order) -> float:
--- a/basaltport/local_fleet/port.py
+++ b/basaltport/local_fleet/port.py
@@ -1,4 +1,4 @@
-"""A keeper's port to the stand-ins: their list, orders, reports, and the operators' HTTP."""
+"""A controller's port to the stand-ins: their list, orders, reports, and the operators' HTTP."""
 
 import dataclasses
 import hashlib
@@ -9,7 +9,7 @@
 import aiohttp
 import aiohttp.web
 
-import basaltport.controller.pages as pages
+import basaltport.controller.admin_pages as pages
 import basaltport.local_fleet.stand_ins as stand_ins
 import basaltport.placement.effects as effects
 import basaltport.replica_client.adapter as adapter
@@ -22,8 +22,8 @@
 Rows = list[Document]
 
 
-class Keeper(typing.Protocol):
-    """What this port needs of the keeper's shell."""
+class Controller(typing.Protocol):
+    """What this port needs of the controller's shell."""
 
     async def ask(self, verb: str, body: Document) -> tuple[int, Document]:
         """Answer an operator's ask with a status and a document."""
@@ -43,11 +43,11 @@
     def __init__(self, settings: PortSettings) -> None:
         """Keep the addresses; `start` opens the connections."""
         self.settings = settings
-        self.shell: Keeper | None = None
+        self.shell: Controller | None = None
         self.session: aiohttp.ClientSession | None = None
         self.runner: aiohttp.web.AppRunner | None = None
 
-    async def start(self, shell: Keeper) -> None:
+    async def start(self, shell: Controller) -> None:
         """Listen for operators on behalf of `shell`."""
         self.shell = shell
         timeout = aiohttp.ClientTimeout(total=CALL_S)
@@ -55,7 +55,7 @@
         app = aiohttp.web.Application()
         app.router.add_put(CONFIGURATION_PATH, self.put)
         app.router.add_get(CONFIGURATION_PATH, self.get)
-        app.router.add_route("*", pages.PREFIX + "{page}", pages.Pages(shell, "keeper").serve)
+        app.router.add_route("*", pages.PREFIX + "{page}", pages.Pages(shell, "controller").serve)
         self.runner = aiohttp.web.AppRunner(app, access_log=None, shutdown_timeout=1)
         await self.runner.setup()
         host, port = self.settings.operators.split(":")
@@ -96,10 +96,10 @@
         return _response(*await self._shell().ask("configure", body))
 
     async def get(self, request: aiohttp.web.Request) -> aiohttp.web.Response:
-        """The configuration in force, as a majority of keepers confirms it."""
+        """The configuration in force, as a majority of controllers confirms it."""
         return _response(*await self._shell().ask("configuration", {}))
 
-    def _shell(self) -> Keeper:
+    def _shell(self) -> Controller:
         assert self.shell is not None
         return self.shell
 
--- a/basaltport/local_fleet/runner.py
+++ b/basaltport/local_fleet/runner.py
@@ -13,7 +13,9 @@
 
 HOUSE = "local"
 ZONES = ("z1", "z2", "z3")
-KEEPERS = 3
+CONTROLLERS = 3
+FORMER_ADDRESSES = {"KEEPER": "CONTROLLER"}
+"""Names that shell scripts may still use."""
 REPLICAS = 3
 TIMINGS = {"lease_ms": 3000, "grace_s": 1}
 STARTUP_S = 20
@@ -22,25 +24,25 @@
 
 
 class LocalFleet(fleet.Fleet):
-    """Three keepers, one proxy and one process with three stand-in replicas."""
+    """Three controllers, one proxy and one process with three stand-in replicas."""
 
     def __init__(self, folder: str, seconds: float) -> None:
         """Write settings, logs and data to `folder`; every process ends by itself after `seconds`."""
         super().__init__("thin", folder)
         self.seconds = seconds + STOP_MARGIN_S
-        self.keepers: list[str] = []
+        self.controllers: list[str] = []
         self.proxy = ""
         self.ready = ""
         self.listing = ""
 
     def plan(self) -> None:
         """Choose ports and write each process's settings."""
-        free = (f"{fleet.IP}:{number}" for number in fleet.ports(2 * KEEPERS + 4 + REPLICAS))
+        free = (f"{fleet.IP}:{number}" for number in fleet.ports(2 * CONTROLLERS + 4 + REPLICAS))
         self.listing = next(free)
         self._plan_stand_ins(free)
-        seeds = [next(free) for _ in range(KEEPERS)]
+        seeds = [next(free) for _ in range(CONTROLLERS)]
         for index, address in enumerate(seeds):
-            self._plan_keeper(index, address, next(free), seeds)
+            self._plan_controller(index, address, next(free), seeds)
         self._plan_proxy(free, seeds)
         self._write_addresses()
 
@@ -52,16 +54,16 @@
         self.note_ids()
 
     def wait_until_up(self, stopped: collections.abc.Callable[[], bool]) -> bool:
-        """Whether every keeper follows a leader and the proxy listens within `STARTUP_S` seconds."""
+        """Whether every controller follows a leader and the proxy listens within `STARTUP_S` seconds."""
         end = time.monotonic() + STARTUP_S
         while time.monotonic() < end and not stopped():
-            if all(self._answers(address) for address in (*self.keepers, self.ready)):
+            if all(self._answers(address) for address in (*self.controllers, self.ready)):
                 return True
             time.sleep(POLL_S)
         return False
 
     def _answers(self, address: str) -> bool:
-        """Whether a status page is there: a keeper's once it knows a leader, a proxy's once it listens."""
+        """Whether a status page is there: a controller's once it has a leader, a proxy's once it listens."""
         url = f"http://{address}/basaltport/status"
         try:
             with urllib.request.urlopen(url, timeout=1) as response:
@@ -77,13 +79,13 @@
         settings = messages.StandInSettings(self.listing, replicas)
         self._plan_process("stand-ins", "stand-ins", dataclasses.asdict(settings))
 
-    def _plan_keeper(self, index: int, address: str, operators: str, seeds: list[str]) -> None:
-        name = f"keeper-{index + 1}"
-        self.keepers.append(operators)
+    def _plan_controller(self, index: int, address: str, operators: str, seeds: list[str]) -> None:
+        name = f"controller-{index + 1}"
+        self.controllers.append(operators)
         settings = self._member(name, ZONES[index], address, seeds)
         settings |= {"first_start": True, "data": self.path(f"{name}.data"), "operators": operators}
         settings["listing"] = {"address": self.listing}
-        self._plan_process(name, "keeper", settings)
+        self._plan_process(name, "controller", settings)
 
     def _plan_proxy(self, free: collections.abc.Iterator[str], seeds: list[str]) -> None:
         settings = self._member("proxy-1", ZONES[0], next(free), seeds)
@@ -102,6 +104,7 @@
 
     def _write_addresses(self) -> None:
         """The addresses as a shell reads them."""
-        names = {"KEEPER": self.keepers[0], "PROXY": self.proxy, "PROXY_STATUS": self.ready}
+        names = {"CONTROLLER": self.controllers[0], "PROXY": self.proxy, "PROXY_STATUS": self.ready}
+        names |= {former: names[name] for former, name in FORMER_ADDRESSES.items()}
         with open(self.path("addresses"), "w") as file:
             file.writelines(f"{name}={address}\n" for name, address in names.items())
--- a/basaltport/local_fleet/stand_ins.py
+++ b/basaltport/local_fleet/stand_ins.py
@@ -50,13 +50,13 @@
         }
 
     async def order(self, request: aiohttp.web.Request) -> aiohttp.web.Response:
-        """A keeper's order to load or unload."""
+        """A controller's order to load or unload."""
         body = await request.json()
         order = engine.Order(body["kind"], body["model"], body["adapter"])
         return aiohttp.web.json_response({"outcome": self.engine.order(order, time.monotonic())})
 
     async def report(self, request: aiohttp.web.Request) -> aiohttp.web.Response:
-        """What this replica holds, for a keeper."""
+        """What this replica holds, for a controller."""
         return aiohttp.web.json_response(self.engine.report())
 
     async def answer(self, request: aiohttp.web.Request) -> aiohttp.web.StreamResponse:
@@ -83,7 +83,7 @@
 
 
 class StandIns:
-    """All stand-in replicas of a process, with the list that keepers read."""
+    """All stand-in replicas of a process, with the list that controllers read."""
 
     def __init__(self, settings: messages.StandInSettings) -> None:
         """Make the replicas; `start` opens their ports."""
--- a/basaltport/model/cli.py
+++ b/basaltport/model/cli.py
@@ -11,7 +11,7 @@
 import basaltport.model.schedule as schedule
 import basaltport.verbs as verbs
 
-HELP = "Keepers, proxies and operators under random troubles in virtual time, every step checked."
+HELP = "Controllers, proxies and operators under random troubles in virtual time, every step checked."
 
 
 def _define(values: flags.FlagValues) -> None:
--- a/basaltport/model/exhaustive.py
+++ b/basaltport/model/exhaustive.py
@@ -170,7 +170,7 @@
 
     def state(self) -> State:
         """The smallest of the descriptions under all orders of members."""
-        names = sorted(n.name for n in self.world.keepers())
+        names = sorted(n.name for n in self.world.controllers())
         orders = itertools.permutations(names)
         return min((self._described({n: i for i, n in enumerate(order)}) for order in orders), key=repr)
 
--- a/basaltport/model/standins.py
+++ b/basaltport/model/standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins round the keepers' reducers: a placement that orders all the time, a proxy that follows."""
+"""Stand-ins round the controllers' reducers: a placement that orders all the time, a proxy that follows."""
 
 import typing
 
--- a/basaltport/model/troubles.py
+++ b/basaltport/model/troubles.py
@@ -246,7 +246,7 @@
 
     def _do_cut_pair(self, slot: int, action: schedule.Action) -> None:
         w, name = self.world, self._node_of(slot)
-        others = sorted(n.name for n in w.keepers() if n.name != name)
+        others = sorted(n.name for n in w.controllers() if n.name != name)
         if not others:
             return
         other = others[action.choice % len(others)]
@@ -257,7 +257,7 @@
     def _do_split(self, slot: int, action: schedule.Action) -> None:
         """The leader and every second process on one side, the others on the other."""
         w = self.world
-        names = sorted(n.name for n in w.keepers())
+        names = sorted(n.name for n in w.controllers())
         left = {n for i, n in enumerate(names) if (action.choice >> i % 3) & 1} | {self._node_of(slot)}
         pairs = [(a, b) for a in names for b in names if (a in left) != (b in left)]
         w.part_links(pairs)
--- a/basaltport/model/world.py
+++ b/basaltport/model/world.py
@@ -1,4 +1,4 @@
-"""The model's world: keepers and proxies by their own reducers, machines with troubles, operators, checks."""
+"""The model's world: controllers and proxies by their own reducers, machines, operators, checks."""
 
 import collections
 import traceback
@@ -6,7 +6,7 @@
 
 import basaltport.events as events
 import basaltport.fleet.messages as fleet_messages
-import basaltport.controller.events as keeper_events
+import basaltport.controller.events as controller_events
 import basaltport.member as member
 import basaltport.messages as messages
 import basaltport.model.checks as checks
@@ -30,7 +30,7 @@
     """Links lose, delay, double and reorder; what a cut holds up may come after it heals."""
 
     def __init__(self, seed: int, members: int = 3, bearable: bool = True, rough: bool = True) -> None:
-        """Keepers are about to start; `rough` links delay, double and reorder."""
+        """Controllers are about to start; `rough` links delay, double and reorder."""
         self.bearable = bearable
         self.machines = machines.Machines([f"k{i + 1}" for i in range(members)])
         self.calls: dict[str, int] = {}
@@ -52,7 +52,7 @@
     # stand-ins
 
     def placement(self) -> standins.Placement:
-        """For each keeper its own."""
+        """For each controller its own."""
         return standins.Placement(REPLICAS)
 
     def proxy_of(self, me: member.Me, seed: int) -> standins.Proxy:
@@ -66,7 +66,7 @@
     def read_list(self, node: nodes.Node, life: int) -> None:
         """Its answer comes."""
         rows = [{"id": r, "service": "s", "models": {}} for r in REPLICAS]
-        listed: typing.Callable[..., object] = keeper_events.Listed
+        listed: typing.Callable[..., object] = controller_events.Listed
         self.give(node, life, listed(self.now, True, rows))
 
     def do_order(self, node: nodes.Node, effect: effects.Order) -> None:
@@ -185,7 +185,7 @@
 
     def reachable(self) -> list[str]:
         """Members that operators can ask: a frozen one takes the call and says nothing."""
-        return sorted(n.name for n in self.keepers())
+        return sorted(n.name for n in self.controllers())
 
     def ask(self, name: str, verb: str, **body: object) -> str:
         """Remembers when the call was made."""
--- a/basaltport/placement/machine.py
+++ b/basaltport/placement/machine.py
@@ -1,4 +1,4 @@
-"""Which replica holds which models: a state machine owned by the keeper that leads."""
+"""Which replica holds which models: a state machine owned by the controller that leads."""
 
 import collections.abc
 import random
@@ -71,7 +71,7 @@
         self.demand_start()
 
     def start(self, now: int, fence: int, holder: str, hold_ms: int | None = None) -> state.Effects:
-        """This keeper leads, under a fence."""
+        """This controller leads, under a fence."""
         self.clear()
         self.now, self.on = now, True
         self.fence, self.holder = fence, holder
--- a/basaltport/scale/cli.py
+++ b/basaltport/scale/cli.py
@@ -100,7 +100,7 @@
         fs.append(finding("seconds", f"{runs} runs take {need}"))
     if len({getattr(s, axis(ss)) for s in ss}) < fit.LEAST:
         fs.append(finding("sizes", f"no field has {fit.LEAST} values"))
-    if fleet.KEEPERS + fv.proxies + fv.hosts + 1 > PROCESSES:
+    if fleet.CONTROLLERS + fv.proxies + fv.hosts + 1 > PROCESSES:
         fs.append(finding("hosts", f"over {PROCESSES} processes"))
     return ss, calm, fs
 
@@ -120,7 +120,7 @@
     ss, calm, fs = check(fv)
     fs += [finding(a, "not a flag") for a in args]
     if fv.dir and os.path.isdir(fv.dir) and os.listdir(fv.dir):
-        fs.append(finding("dir", "not empty: keepers would go on from what it holds"))
+        fs.append(finding("dir", "not empty: controllers would go on from what it holds"))
     for f in fs:
         print(f"{f['place']}: {f['finding']}", file=sys.stderr)
     if fs:
--- a/basaltport/scale/fleet.py
+++ b/basaltport/scale/fleet.py
@@ -6,7 +6,7 @@
 import basaltport.simulation.drills.fleet as fleet
 import basaltport.scale.size as size_
 
-KEEPERS = 3
+CONTROLLERS = 3
 HOUSE = "scale"
 LIMIT = 1 << 24
 
@@ -25,15 +25,21 @@
     def plan(self):
         o, n = self.opts, self.size.nodes
         hosts = min(o.hosts, n)
-        ps = iter(fleet.ports(2 * KEEPERS + 4 * o.proxies + hosts + n))
+        ps = iter(fleet.ports(2 * CONTROLLERS + 4 * o.proxies + hosts + n))
         address = lambda: f"{fleet.IP}:{next(ps)}"  # noqa: E731
-        keepers = [address() for _ in range(KEEPERS)]
-        base = {"house": HOUSE, "seeds": keepers, "timings": {"lease_ms": 3000, "grace_s": 1}}
+        controllers = [address() for _ in range(CONTROLLERS)]
+        base = {"house": HOUSE, "seeds": controllers, "timings": {"lease_ms": 3000, "grace_s": 1}}
         size = self.size.doc()
-        for k, a in enumerate(keepers):
-            s = {**base, "name": f"keeper-{k + 1}", "zone": size_.zone(k), "address": a, "first_start": True}
+        for k, a in enumerate(controllers):
+            s = {
+                **base,
+                "name": f"controller-{k + 1}",
+                "zone": size_.zone(k),
+                "address": a,
+                "first_start": True,
+            }
             s["data"] = self.path(s["name"])
-            self.add("keeper", s["name"], address(), settings=s, size=size)
+            self.add("controller", s["name"], address(), settings=s, size=size)
         for k in range(o.proxies):
             s = {**base, "name": f"proxy-{k + 1}", "zone": size_.zone(k), "address": address()}
             s |= {"listen": address(), "ready": address(), "zones": dict(size_.ZONES)}
@@ -42,7 +48,7 @@
         told = {"requests": o.requests, "running": o.running, "loads": o.loads / 3600 / n}
         for k in range(hosts):
             name, on = f"host-{k + 1}", rows[k::hosts]
-            self.add("hollow", name, address(), nodes=on, house=HOUSE, seeds=keepers, size=size, **told)
+            self.add("hollow", name, address(), nodes=on, house=HOUSE, seeds=controllers, size=size, **told)
 
     def add(self, role, name, questions, **conf):
         self.confs[name] = {"role": role, "questions": questions, **conf, **self.bounds}
--- a/basaltport/scale/play.py
+++ b/basaltport/scale/play.py
@@ -102,7 +102,7 @@
         raise Broken(f"{what}: not within {seconds} s")
 
     async def leader(self):
-        got = await self.f.ask_all(self.f.of("keeper"), "sample")
+        got = await self.f.ask_all(self.f.of("controller"), "sample")
         return next((n for n, s in got.items() if s and s["leads"]), None)
 
     async def marked(self, what, key, since, seconds=WAIT):
@@ -116,12 +116,12 @@
         return times(await self.until(test, seconds, f"{what} {key} at all nodes"), since)
 
     async def ask(self, verb, body):
-        """An operator's ask at a keeper that does not lead: the longer way."""
-        k = next(n for n in self.f.of("keeper") if n != self.lead)
+        """An operator's ask at a controller that does not lead: the longer way."""
+        k = next(n for n in self.f.of("controller") if n != self.lead)
         return await self.f.ask(k, "ask", verb=verb, body=body)
 
     async def samples(self):
-        got = await self.f.ask_all(self.f.of("keeper", "proxy", "hollow"), "sample")
+        got = await self.f.ask_all(self.f.of("controller", "proxy", "hollow"), "sample")
         if None in got.values():
             raise Broken("a process ended: " + ", ".join(n for n, s in got.items() if s is None))
         total = sum(s["memory_mb"] for s in got.values())
@@ -156,7 +156,7 @@
             raise Broken("the leader changed in every calm window")
         rates = {n: count.between(a[n], b[n]) for n in a}
         by = {"leader": [rates[self.lead]]}
-        by["keeper"] = [rates[n] for n in self.f.of("keeper") if n != self.lead]
+        by["controller"] = [rates[n] for n in self.f.of("controller") if n != self.lead]
         by["proxy"] = [rates[n] for n in self.f.of("proxy")]
         hollow = [rates[n] for n in self.f.of("hollow")]
         by["hollow node"] = [{**merged(hollow), **self.shared(hollow)}]
@@ -224,7 +224,7 @@
 
     async def lose(self, ids):
         """Takes replicas off the list; {"p50", "max"} in ms until every follower knows."""
-        got = await self.f.ask_all(self.f.of("keeper"), "lose", ids=ids)
+        got = await self.f.ask_all(self.f.of("controller"), "lose", ids=ids)
         return await self.marked("gone", ids[-1], min(s["at"] for s in got.values()))
 
     async def restarts(self):
--- a/basaltport/simulation/routes/nodes.py
+++ b/basaltport/simulation/routes/nodes.py
@@ -8,7 +8,7 @@
 import basaltport.consensus.quorum as quorum
 import basaltport.events as events
 import basaltport.frames as frames
-import basaltport.controller.role as role
+import basaltport.controller.node as role
 import basaltport.identifiers as identifiers
 import basaltport.member as member
 import basaltport.simulation.world.virtual_disk as simdisk
@@ -125,7 +125,7 @@
             fs = n.founders
             me = member.Me(*args, voters="ledgers", first_start=fs is not None, founders=fs or [])
             seed = self.rng.getrandbits(32)
-            n.member = role.Keeper(me, seed, self.clock(n), held, promised, self.placement())
+            n.member = role.Controller(me, seed, self.clock(n), held, promised, self.placement())
         else:
             n.member = self.proxy_of(member.Me(*args), self.rng.getrandbits(32))
         n.life, n.frozen, n.held, n.book = n.life + 1, False, [], None
@@ -218,11 +218,11 @@
     def differs(self, n: Node, b: typing.Any) -> None:
         raise AssertionError((n.name, b["serial"]))
 
-    def keepers(self) -> list[Node]:
+    def controllers(self) -> list[Node]:
         return [n for n in self.nodes.values() if n.disk and n.member]
 
     def up(self) -> list[Node]:
-        return [n for n in self.keepers() if not n.frozen]
+        return [n for n in self.controllers() if not n.frozen]
 
     def leader(self) -> str | None:
         """The name of the one that holds, or None."""
--- a/tests/keeper_parts.py
+++ b/tests/controller_parts.py
@@ -1,4 +1,4 @@
-"""Stand-ins round keepers, shared with the model."""
+"""Stand-ins round controllers, shared with the model."""
 
 import basaltport.model.standins as standins
 
--- a/tests/keepers.py
+++ b/tests/controllers.py
@@ -1,15 +1,15 @@
-"""Keepers and proxies on virtual time, links and disks. What must always hold is checked at every step."""
+"""Controllers and proxies on virtual time, links and disks. Invariants are checked at every step."""
 
 import basaltport.controller.events as role_events
 import basaltport.simulation.routes.nodes as routenodes
-import tests.keeper_parts as parts
+import tests.controller_parts as parts
 
 
 class World(routenodes.Nodes):
-    def __init__(self, seed, keepers=3, boot=True, packed=False):
+    def __init__(self, seed, controllers=3, boot=True, packed=False):
         self.orders = []
         self.listing = [{"id": "r1", "service": "s", "models": {}}]
-        super().__init__(seed, keepers, boot, packed)
+        super().__init__(seed, controllers, boot, packed)
 
     def placement(self):
         return parts.Placement()
@@ -32,7 +32,7 @@
         return self.asked(name, "configure", ms, change=f"e{edition}", base=base, document=document(edition))
 
     def strike(self, what, k, after, fresh):
-        """A keeper cut off from most others, replaced by an empty one, or links that lose; `fresh` counts
+        """A controller cut off from most others, replaced by an empty one, or links that lose; `fresh` counts
         those that came new."""
         if what in ("cut", "oneway"):
             for n in self.nodes:
@@ -44,7 +44,7 @@
             self.kill(k)
             del self.nodes[k]
             fresh += 1
-            self.seeds = [n.addr for n in self.keepers()][:3]
+            self.seeds = [n.addr for n in self.controllers()][:3]
             self.add(f"n{fresh}")
             self.later(after // 4, self.boot, f"n{fresh}")
             return fresh
@@ -53,7 +53,7 @@
         return fresh
 
     def must(self, edition, base, ms=4000):
-        """Ms until an operator who asks one keeper after another has its acknowledgement."""
+        """Ms until an operator who asks one controller after another has its acknowledgement."""
         start, end, k = self.now, self.now + ms, self.rng.randrange(10)
         while self.now < end:
             up, k = [n.name for n in self.up()], k + 1
@@ -66,7 +66,7 @@
         return None
 
     def read(self, ms=4000):
-        """The edition that any keeper reads back."""
+        """The edition that any controller reads back."""
         end = self.now + ms
         while self.now < end:
             up = [n.name for n in self.up()]
--- a/tests/fleet_stand.py
+++ b/tests/fleet_stand.py
@@ -1,4 +1,4 @@
-"""Keepers and a proxy in a known state on virtual time, served over HTTP on 127.0.0.1 by a thread."""
+"""Controllers and a proxy in a known state on virtual time, served over HTTP on 127.0.0.1 by a thread."""
 
 import asyncio
 import random
@@ -6,13 +6,13 @@
 
 import aiohttp.web
 
-import basaltport.controller.admin as admin
-import basaltport.controller.events as keeper_events
+import basaltport.controller.admin_api as admin
+import basaltport.controller.events as controller_events
 import basaltport.identifiers as identifiers
 import basaltport.member as member
 import basaltport.placement.machine as machine
 import basaltport.proxy.role as role
-import tests.keepers as keepers
+import tests.controllers as controllers
 import tests.live as live
 import tests.relay_stand as stand
 
@@ -36,7 +36,7 @@
     return d
 
 
-class World(keepers.World):
+class World(controllers.World):
     def placement(self):
         return machine.Placement(random.Random(1))
 
@@ -48,7 +48,7 @@
     def do_report(self, n, e):
         models = next(r["models"] for r in self.listing if r["id"] == e.replica)
         report = {"models": models, "busy": False, "orders": 0}
-        self.later(5, self.give, n, n.life, keeper_events.Reported(self.now, e.replica, True, report))
+        self.later(5, self.give, n, n.life, controller_events.Reported(self.now, e.replica, True, report))
 
 
 class Thread:
@@ -106,14 +106,14 @@
 
 
 class Fleet:
-    """Three keepers and a proxy that follows; one replica holds birch, and alder is wanted for a while."""
+    """Three controllers and a proxy that follows; one replica holds birch, and alder is wanted a while."""
 
     def __init__(self):
         self.w = w = World(1)
         w.listing = [row("r1", "z1", {"birch": ["a1"]}), row("r2", "z2", {})]
         self.names = sorted(w.nodes)
         shells = {n: self.shell(n) for n in self.names}
-        self.served = Thread({n: admin.of_keeper(s, lambda: w.now) for n, s in shells.items()})
+        self.served = Thread({n: admin.controller_admin(s, lambda: w.now) for n, s in shells.items()})
 
     def shell(self, name):
         """What an Admin needs of a shell; the list of replicas came 300 ms ago."""
--- a/tests/model_mutations.py
+++ b/tests/model_mutations.py
@@ -19,8 +19,8 @@
 import basaltport.consensus.voters as voters
 import basaltport.fleet.follow as follow
 import basaltport.fleet.publish as publish
-import basaltport.controller.desk as desk
-import basaltport.controller.duties as duties
+import basaltport.controller.operator_requests as desk
+import basaltport.controller.shard_ownership as duties
 import basaltport.identifiers as identifiers
 import basaltport.member as member
 import basaltport.model.finding as finding
@@ -371,8 +371,8 @@
         "orders without a lease",
         {Rule.ORDERS},
         [
-            (duties.DutiesMixin, "duty_leased", always),
-            (duties.DutiesMixin, "ripe", always),
+            (duties.ShardOwnershipMixin, "duty_leased", always),
+            (duties.ShardOwnershipMixin, "ripe", always),
             (duties, "STALE", 10**9),
         ],
         range(1, 60),
--- a/tests/placement_fleet.py
+++ b/tests/placement_fleet.py
@@ -55,7 +55,7 @@
         self.reports()
 
     def lead(self, hold=3700):
-        """Another keeper leads: it knows nothing but the configuration."""
+        """Another controller leads: it knows nothing but the configuration."""
         self.p.stop()
         self.p = machine.Placement(random.Random(3), hold_ms=hold)
         self.fence += 1
@@ -75,7 +75,7 @@
         self.sims[new.id] = new
 
     def of(self, p, f):
-        """An answer for a keeper that may lead no longer."""
+        """An answer for a controller that may lead no longer."""
         if p is self.p:
             self.do(f(p))
 
--- a/tests/relay_stand.py
+++ b/tests/relay_stand.py
@@ -130,7 +130,7 @@
 
 
 class Front:
-    """A relay's shell on 127.0.0.1, told its replicas and configuration directly; no keeper. `settings`: more
+    """A relay's shell on 127.0.0.1, told its replicas and configuration directly; no leader. `settings`: more
     of them."""
 
     def __init__(self, replicas, doc=None, timings=None, settings=None):
--- a/tests/test_control_scenarios.py
+++ b/tests/test_control_scenarios.py
@@ -6,8 +6,8 @@
 import basaltport.consensus.elect as elect
 import basaltport.consensus.feed as feed
 import basaltport.consensus.timing as timing
-import basaltport.controller.desk as desk
-import basaltport.controller.role as role
+import basaltport.controller.operator_requests as desk
+import basaltport.controller.node as role
 import basaltport.simulation.routes.control as control
 import basaltport.simulation.routes.control_losses as control_losses
 import basaltport.simulation.routes.control_play as control_play
@@ -74,7 +74,7 @@
 
 # mutations
 
-_judged, _load_for, _in_force = desk.DeskMixin.judged, feed.FeedMixin.load_for, role.Keeper.in_force
+_judged, _load_for, _in_force = desk.DeskMixin.judged, feed.FeedMixin.load_for, role.Controller.in_force
 
 
 def _read_without_majority(self, src, call, verb, body, at, got=None):
@@ -134,7 +134,7 @@
     ("holder-behind", "leader-cut-20s", NEVER_STEPS_DOWN),
     ("old-given", "leader-cut-20s", NEVER_STEPS_DOWN),
     ("wrongly-refused", "leader-cut-20s", [(*JUDGED, _refuses_some)]),
-    ("keeper-back", "leader-cut-20s", [(role.Keeper, "in_force", _falls_back)]),
+    ("keeper-back", "leader-cut-20s", [(role.Controller, "in_force", _falls_back)]),
     ("two-confirmed", "two-operators-one-number", [(*JUDGED, _no_comparison)]),
     ("refused-but-taken", "two-operators-one-number", [(*JUDGED, _taken_though_refused)]),
     ("repeat-refused", "two-operators-one-number", [(book, "_remember", _forgets_changes)]),
--- a/tests/test_keepers_troubles.py
+++ b/tests/test_controller_faults.py
@@ -1,14 +1,14 @@
-"""Keepers in trouble: frozen, cut off, slow or stalled disks, and all of it at random."""
+"""Controllers in trouble: frozen, cut off, slow or stalled disks, and all of it at random."""
 
 import pytest
 
 import basaltport.events as base
 import basaltport.controller.events as events
 import basaltport.messages as messages
-import tests.keepers as keepers
+import tests.controllers as controllers
 
 THREE = ("k1", "k2", "k3")
-world, others = keepers.founded, keepers.others
+world, others = controllers.founded, controllers.others
 
 
 def test_a_frozen_leader_does_not_hold_and_orders_nothing_when_thawed():
@@ -138,8 +138,8 @@
     k = w.leader()
     for n in others(w):
         w.stall(n)
-    a = w.ask(k, "configure", change="a", base=1, document=keepers.document(2))
-    b = w.ask(k, "configure", change="b", base=1, document=keepers.document(3))
+    a = w.ask(k, "configure", change="a", base=1, document=controllers.document(2))
+    b = w.ask(k, "configure", change="b", base=1, document=controllers.document(3))
     w.run(3500)
     assert (w.answers[a], w.answers[b]) == (None, None)
     w.run(500)
--- a/tests/test_keepers.py
+++ b/tests/test_controllers.py
@@ -1,14 +1,14 @@
-"""Agreement among keepers alone: founding, losses, replaced machines, what was acknowledged is never lost."""
+"""Consensus of controllers alone: founding, losses, replaced machines; nothing acknowledged is lost."""
 
 import pytest
 
 import basaltport.events as events
-import tests.keepers as keepers
+import tests.controllers as controllers
 
 THREE = ("k1", "k2", "k3")
 
 
-world, others = keepers.founded, keepers.others
+world, others = controllers.founded, controllers.others
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -16,16 +16,16 @@
 def test_founding_takes_in_all(seed, n):
     w = world(seed, n)
     assert w.must(1, 0) < 300
-    assert {len(x.member.book["roster"]) for x in w.keepers()} == {n}
+    assert {len(x.member.book["roster"]) for x in w.controllers()} == {n}
 
 
 def test_only_a_first_start_founds_and_a_seed_missing_is_no_hindrance():
-    w = keepers.World(1, 3, boot=False)
+    w = controllers.World(1, 3, boot=False)
     for n in THREE:
         w.boot(n)
     w.run(5000)
     assert w.leader() is None
-    w = keepers.World(1, 3, boot=False)
+    w = controllers.World(1, 3, boot=False)
     w.boot("k2", True)
     w.boot("k3", True)
     assert w.until(lambda: w.settled("k2", "k3"), 3000) is not None
@@ -34,7 +34,7 @@
 
 
 def test_killed_before_founding_they_found_after():
-    w = keepers.World(1, 3, boot=False)
+    w = controllers.World(1, 3, boot=False)
     w.boot("k1", True)
     w.run(200)
     w.kill("k1")
@@ -45,7 +45,7 @@
 
 
 def test_a_half_founds_no_second_system():
-    w = keepers.World(1, 3, boot=False)
+    w = controllers.World(1, 3, boot=False)
     w.cut("k1", "k2")
     w.cut("k1", "k3")
     for n in THREE:
@@ -62,7 +62,7 @@
 
 
 def test_one_without_its_disk_is_no_founder():
-    w = keepers.World(1, 3, boot=False)
+    w = controllers.World(1, 3, boot=False)
     w.cut("k1", "k2")
     w.cut("k1", "k3")
     for n in THREE:
@@ -82,31 +82,31 @@
 def test_one_of_two_changes_on_one_edition_prevails_and_repeats_are_acknowledged():
     w = world(editions=1)
     a, b = others(w)
-    ca = w.ask(a, "configure", change="x", base=1, document=keepers.document(3))
-    cb = w.ask(b, "configure", change="y", base=1, document=keepers.document(4))
+    ca = w.ask(a, "configure", change="x", base=1, document=controllers.document(3))
+    cb = w.ask(b, "configure", change="y", base=1, document=controllers.document(4))
     w.run(500)
     got = {w.answers[ca][0]: 3, w.answers[cb][0]: 4}
     assert sorted(got) == [200, 412]
     assert w.read() == got[200]
     first, second = ("x", "y") if got[200] == 3 else ("y", "x")
-    assert w.asked(a, "configure", change=second, base=1, document=keepers.document(got[412]))[0] == 412
+    assert w.asked(a, "configure", change=second, base=1, document=controllers.document(got[412]))[0] == 412
     assert w.must(9, got[200]) is not None
-    assert w.asked(b, "configure", change=first, base=1, document=keepers.document(got[200]))[0] == 200
+    assert w.asked(b, "configure", change=first, base=1, document=controllers.document(got[200]))[0] == 200
     assert w.read() == 9
 
 
 def test_an_invalid_change_is_refused_and_never_in_force():
     w = world(editions=2)
     k = others(w)[0]
-    status, body = w.asked(k, "configure", change="o", base=2, document=keepers.document(2))
+    status, body = w.asked(k, "configure", change="o", base=2, document=controllers.document(2))
     assert status == 400 and body["findings"]
     assert w.asked(k, "reconfigure", change="p", base=2, patch={"put": {}})[0] == 400
-    patch = {"edition": 5, "put": {"services": [keepers.SERVICE]}}
+    patch = {"edition": 5, "put": {"services": [controllers.SERVICE]}}
     assert w.asked(k, "reconfigure", change="q", base=2, patch=patch)[0] == 200
     assert w.asked(k, "reconfigure", change="q", base=2, patch=patch)[0] == 200
     w.run(300)
-    doc = {**keepers.document(5), "services": [keepers.SERVICE]}
-    assert {str(n.member.book["manifest"]) for n in w.keepers()} == {str(doc)}
+    doc = {**controllers.document(5), "services": [controllers.SERVICE]}
+    assert {str(n.member.book["manifest"]) for n in w.controllers()} == {str(doc)}
 
 
 def test_evacuations_are_agreed_and_may_be_repeated():
@@ -151,7 +151,7 @@
 def test_a_call_outlives_the_leader_it_was_sent_to(end):
     w = world(editions=1)
     k = others(w)[0]
-    c = w.ask(k, "configure", change="x", base=1, document=keepers.document(2))
+    c = w.ask(k, "configure", change="x", base=1, document=controllers.document(2))
     w.run(15)
     getattr(w, end)(w.leader())
     w.until(lambda: w.answers[c], 4000)
@@ -231,7 +231,7 @@
         w.boot(f"n{i}")
         w.run(4000)
         assert len(w.roster()) == 4
-        w.ask(w.leader(), "configure", change=f"e{i + 2}", base=i + 1, document=keepers.document(i + 2))
+        w.ask(w.leader(), "configure", change=f"e{i + 2}", base=i + 1, document=controllers.document(i + 2))
         w.run(5)
         w.stop(k)
         del w.nodes[k]
@@ -265,7 +265,7 @@
     for n in w.nodes.values():
         w.step(n, events.Stop(w.now))
     w.run(300)
-    assert {len(n.member.tip()["roster"]) for n in w.keepers()} == {3}
+    assert {len(n.member.tip()["roster"]) for n in w.controllers()} == {3}
     for n in THREE:
         w.kill(n, power=True, disk=n == "k2")
         w.boot(n)
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -1,13 +1,13 @@
-"""Orders cut over the keepers: who dies holds up its own slices only, and no replica ever has two holders."""
+"""Orders sharded over the controllers: a dead one holds up its own shards only; no replica has two owners."""
 
 import pytest
 
 import basaltport.events as events
-import basaltport.controller.duties as duties
+import basaltport.controller.shard_ownership as duties
 import basaltport.controller.events as role_events
 import basaltport.placement.effects as effects
-import tests.keeper_parts as parts
-import tests.keepers as keepers
+import tests.controller_parts as parts
+import tests.controllers as controllers
 
 REPLICAS = [f"r{i}" for i in range(30)]
 LEASE = 3000
@@ -41,7 +41,7 @@
         return []
 
 
-class World(keepers.World):
+class World(controllers.World):
     """Every order that is sent is kept and held against what must hold."""
 
     def __init__(self, *args, **kw):
@@ -95,7 +95,7 @@
         super().freeze(name, on)
 
     def do_send(self, n, e):
-        if isinstance(e.msg, duties.Do) and self.rng.random() < self.slow:
+        if isinstance(e.msg, duties.OrderRequest) and self.rng.random() < self.slow:
             to = self.by_addr[e.addr]
             self.later(self.rng.randrange(100, 900), self.arrive, n, to, to.life, e.msg)
             return
@@ -134,11 +134,11 @@
 
 def of(w, name):
     o = w.owners()
-    return [r for r in REPLICAS if o[duties.slice_of(r)] == name]
+    return [r for r in REPLICAS if o[duties.shard_of(r)] == name]
 
 
 def gap(w, name, at):
-    """The least and greatest ms from `at` until the replicas of a keeper's are ordered to."""
+    """The least and greatest ms from `at` until the replicas of a controller's are ordered to."""
     got = [o[0] - at for o in w.since(at, of(w, name)).values()]
     return min(got), max(got)
 
@@ -161,7 +161,7 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_an_owner_that_dies_holds_up_no_other(seed):
     w = founded(seed)
-    k = keepers.others(w)[0]
+    k = controllers.others(w)[0]
     mine, rest = of(w, k), [r for r in REPLICAS if r not in of(w, k)]
     w.kill(k)
     at = w.now
@@ -176,7 +176,7 @@
 @pytest.mark.parametrize("leads", [True, False])
 def test_a_frozen_owner_thaws_and_sends_nothing(leads):
     w = founded()
-    k = w.leader() if leads else keepers.others(w)[0]
+    k = w.leader() if leads else controllers.others(w)[0]
     w.freeze(k)
     at = w.now
     w.run(9000)
@@ -189,7 +189,7 @@
 @pytest.mark.parametrize("leads", [True, False])
 def test_one_restarted_with_its_disk_goes_on_under_its_fence(leads):
     w = founded()
-    k = w.leader() if leads else keepers.others(w)[0]
+    k = w.leader() if leads else controllers.others(w)[0]
     mine, before = of(w, k), {r: w.sent[r][-1][2] for r in REPLICAS}
     w.kill(k)
     w.run(300)
@@ -200,9 +200,9 @@
     assert {r: (o[1], o[2]) for r, o in got.items()} == {r: (k, before[r]) for r in mine}
 
 
-def test_a_replaced_keepers_slices_go_to_others_and_some_to_the_new_one():
+def test_a_replaced_controllers_slices_go_to_others_and_some_to_the_new_one():
     w = founded()
-    k = keepers.others(w)[0]
+    k = controllers.others(w)[0]
     w.kill(k)
     del w.nodes[k]
     w.add("new")
@@ -217,7 +217,7 @@
 @pytest.mark.parametrize("leads", [True, False])
 def test_one_that_stops_hands_over_without_waiting_for_its_lease(leads):
     w = founded()
-    k = w.leader() if leads else keepers.others(w)[0]
+    k = w.leader() if leads else controllers.others(w)[0]
     mine = of(w, k)
     at = w.now
     w.stop(k)
@@ -228,14 +228,14 @@
 
 def test_what_was_held_up_on_its_way_or_is_of_an_older_leader_is_not_carried_out():
     w = founded()
-    lead, n = w.nodes[w.leader()].member, w.nodes[keepers.others(w)[0]]
+    lead, n = w.nodes[w.leader()].member, w.nodes[controllers.others(w)[0]]
     r = of(w, n.name)[0]
-    f = lead.book["slices"][duties.slice_of(r)]["fence"]
+    f = lead.book["slices"][duties.shard_of(r)]["fence"]
     gen, k = lead.promised, lead.echoes[n.seat][0]
     older = type(gen)(gen.count - 1, gen.name)
 
     def does(g, fence, echo):
-        m = duties.Do(g, 999, echo, lead.me.addr, r, "a:1", "load", "m", "", fence)
+        m = duties.OrderRequest(g, 999, echo, lead.me.addr, r, "a:1", "load", "m", "", fence)
         return any(isinstance(e, effects.Order) for e in n.member.step(events.Heard(w.now, "", m)))
 
     assert does(gen, f, k)
@@ -319,7 +319,7 @@
 
 @pytest.mark.parametrize("name,wrong", [("duty_leased", leased), ("ripe", ripe), ("owns", unfenced)])
 def test_the_check_sees_what_is_wrong(name, wrong, lively, monkeypatch):
-    monkeypatch.setattr(duties.DutiesMixin, name, wrong)
+    monkeypatch.setattr(duties.ShardOwnershipMixin, name, wrong)
     with pytest.raises(AssertionError):
         for seed in range(60):
             play(seed)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""The feed from the leading keeper to proxies: whole once, then what changed, never back, and kept unled."""
+"""The feed from the leader to proxies: complete once, then what changed, never back, and kept unled."""
 
 import basaltport.consensus.feed as feed
 import basaltport.consensus.book as book
@@ -7,11 +7,11 @@
 import basaltport.fleet.publish as publish
 import basaltport.frames as frames
 import basaltport.identifiers as identifiers
-import tests.keepers as keepers
+import tests.controllers as controllers
 
 
 def world(proxies=2, editions=1):
-    w = keepers.World(1, 3, packed=True)
+    w = controllers.World(1, 3, packed=True)
     assert w.until(lambda: w.settled("k1", "k2", "k3"), 3000) is not None
     for e in range(1, editions + 1):
         assert w.must(e, e - 1) is not None
@@ -96,7 +96,7 @@
     w, (p, _) = world(editions=3)
     old = lead(w)
     gen, at = p.feed_gen, book.serial(p.book)
-    stale = {**p.book, "serial": at - 1, "manifest": keepers.document(2)}
+    stale = {**p.book, "serial": at - 1, "manifest": controllers.document(2)}
     for g, n in ((identifiers.Term(gen.count - 1, "k9"), 99), (gen, 0)):
         m = messages.Update(
             g, old.me.name, old.me.addr, [], identifiers.LogIndex(at - 1), [], stale, True, -1, n, {}, [], 9
@@ -119,7 +119,7 @@
     took = w.until(lambda: p.feed_gen == lead(w).promised == q.feed_gen, 3000)
     assert took is not None and took < 1500
     assert set(p.rows) == {"r1"} and edition(p) == 1 and p.changes == [{"r1"}]
-    for n in list(w.keepers()):
+    for n in list(w.controllers()):
         w.kill(n.name)
     w.run(10_000)
     assert not p.led() and set(p.rows) == {"r1"} and edition(p) == 1
--- a/tests/test_fleet_cli.py
+++ b/tests/test_fleet_cli.py
@@ -1,4 +1,4 @@
-"""What operators of a fleet see: keepers and a proxy in a known state, asked over HTTP on 127.0.0.1."""
+"""What operators of a fleet see: controllers and a proxy in a known state, asked over HTTP on 127.0.0.1."""
 
 import asyncio
 import copy
@@ -14,8 +14,8 @@
 
 import pytest
 
-import basaltport.controller.admin as admin
-import basaltport.controller.view as view
+import basaltport.controller.admin_api as admin
+import basaltport.controller.status_view as view
 import basaltport.identifiers as identifiers
 import basaltport.main as main
 import basaltport.proxy.events as events
@@ -48,7 +48,7 @@
     return "\n".join(re.sub(r"  +", "  ", x).rstrip() for x in text.split("\n"))
 
 
-def test_every_keeper_gives_the_leader_s_answer(capsys, fleet):
+def test_every_controller_gives_the_leader_s_answer(capsys, fleet):
     for page in ("status", "placement"):
         got = {call(capsys, f"fleet-{page}", f"--node={fleet.served.address(n)}") for n in fleet.names}
         assert len(got) == 1
@@ -74,7 +74,7 @@
             return e.code, e.read().decode()
 
 
-def test_a_keeper_s_own_word_its_metrics_and_what_is_not_there(fleet):
+def test_a_controller_s_own_word_its_metrics_and_what_is_not_there(fleet):
     at = fleet.served.address(fleet.other)
     assert get(at, "status")[0] == 307
     own = json.loads(get(at, "status?own=1")[1])
@@ -99,7 +99,7 @@
         list(view.samples(m, t, t))
     assert pickle.dumps(m.placement) == was
     words = " ".join(view.unsettled(m, now + 4000, now - 10))
-    for told in ("not vouched", "keeper k2 is silent", "last read 4010 ms ago"):
+    for told in ("not vouched", "controller k2 is silent", "last read 4010 ms ago"):
         assert told in words
     assert view.unsettled(m, now, now) == []
     assert view.unsettled(m, now, None) == ["the list of replicas was not read yet"]
@@ -111,7 +111,7 @@
     for n in ("k1", "k2"):
         w.kill(n)
     w.run(7000)
-    with fleet_stand.Thread({"k3": admin.of_keeper(fleet_stand.Shell(w, "k3"), lambda: w.now)}) as t:
+    with fleet_stand.Thread({"k3": admin.controller_admin(fleet_stand.Shell(w, "k3"), lambda: w.now)}) as t:
         code, out, err = call(capsys, "fleet-status", f"--node={t.address('k3')}")
         assert code == 1 and err == "no leader\n"
         assert "leader none" in out and "no leader is heard" in out
@@ -121,7 +121,7 @@
         assert call(capsys, "fleet-status", f"--node={nodes}")[0] == 0
 
 
-def test_keepers_answer_beside_the_platform_s_calls(fleet):
+def test_controllers_answer_beside_the_platform_s_calls(fleet):
     async def run():
         o = operators.Operators(fleet_stand.Shell(fleet.w, fleet.leader), lambda: ())
         await o.start("127.0.0.1:0")
@@ -144,7 +144,7 @@
 @pytest.fixture
 def proxy():
     m, now = fleet_stand.relay()
-    a = admin.of_proxy(type("Shell", (), {"member": m})(), lambda: now)
+    a = admin.proxy_admin(type("Shell", (), {"member": m})(), lambda: now)
     with fleet_stand.Thread({"p1": a}) as t:
         yield m, now, t.address("p1")
 
@@ -202,7 +202,7 @@
 
 def test_metrics_where_a_process_runs_without_ssl():
     code = (
-        "import sys; sys.modules['ssl'] = None; import basaltport.controller.admin as a;"
+        "import sys; sys.modules['ssl'] = None; import basaltport.controller.admin_api as a;"
         "assert 'prometheus_client' not in sys.modules;"
         "r = a.library(); print(r.generate_latest(r.CollectorRegistry()), sys.modules['ssl'])"
     )
--- a/tests/test_local_fleet.py
+++ b/tests/test_local_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet on a developer's machine: stand-in replicas, the keeper's port to them, and the whole of it."""
+"""The fleet on a developer's machine: stand-in replicas, the controller's port to them, and all of it."""
 
 import asyncio
 import dataclasses
@@ -49,7 +49,7 @@
 
 
 class Shell:
-    """A keeper's shell that takes every ask down."""
+    """A controller's shell that takes every ask down."""
 
     def __init__(self):
         self.asked = []
@@ -60,7 +60,7 @@
 
 
 class Stand:
-    """One stand-in replica that works at once, and a keeper's port to it."""
+    """One stand-in replica that works at once, and a controller's port to it."""
 
     async def __aenter__(self):
         listing, address, self.operators = (f"127.0.0.1:{n}" for n in fleet.ports(3))
@@ -91,7 +91,7 @@
             return got.status, got.headers, await got.text()
 
 
-def test_a_keeper_s_port_lists_orders_and_reads_reports():
+def test_a_controller_s_port_lists_orders_and_reads_reports():
     async def run():
         async with Stand() as s:
             assert [r["id"] for r in await s.port.list()] == ["replica-1"]
@@ -141,7 +141,7 @@
 
 
 def test_a_folder_that_holds_something_is_refused(tmp_path, capsys):
-    (tmp_path / "keeper-1.data").mkdir()
+    (tmp_path / "controller-1.data").mkdir()
     with pytest.raises(SystemExit) as ended:
         main.run(["basaltport", "local-fleet", f"--dir={tmp_path}"])
     assert ended.value.code == cli.BAD_INPUT and "not empty" in capsys.readouterr().err
@@ -175,10 +175,10 @@
     command = [sys.executable, "-m", "basaltport", "local-fleet", f"--dir={folder}", f"--seconds={BOUND}"]
     with subprocess.Popen(command, cwd=ROOT, stdout=subprocess.PIPE, text=True) as started:
         try:
-            assert started.stdout.readline().startswith("keepers: ")
+            assert started.stdout.readline().startswith("controllers: ")
             addresses = dict(line.split("=") for line in (folder / "addresses").read_text().split())
             body = EXAMPLE.read_bytes()
-            got = call(addresses["KEEPER"], "PUT", "/configuration", body, {"If-Match": "0"})
+            got = call(addresses["CONTROLLER"], "PUT", "/configuration", body, {"If-Match": "0"})
             assert got[0] == 200, got
             headers = {"Host": "models.example", "Basaltport-Model": "birch"}
             got = call(addresses["PROXY"], "POST", "/chat/", "two words", headers)
--- a/tests/test_log_gaps.py
+++ b/tests/test_log_gaps.py
@@ -3,16 +3,16 @@
 import pytest
 
 import basaltport.consensus.book as book
-import basaltport.controller.duties as duties
+import basaltport.controller.shard_ownership as duties
 import basaltport.identifiers as identifiers
 import basaltport.messages as messages
-import tests.keepers as keepers
+import tests.controllers as controllers
 
 
 def follower_and_leader():
-    w = keepers.founded(1, 3, editions=3)
+    w = controllers.founded(1, 3, editions=3)
     w.run(300)
-    return w, w.nodes[keepers.others(w)[0]].member, w.nodes[w.leader()].member
+    return w, w.nodes[controllers.others(w)[0]].member, w.nodes[w.leader()].member
 
 
 def test_a_copy_that_is_one_entry_ahead_leaves_no_gap_in_what_is_kept():
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -9,19 +9,19 @@
 import basaltport.consensus.roster as roster
 import basaltport.consensus.timing as timing
 import basaltport.events as events
-import basaltport.controller.role as role
+import basaltport.controller.node as role
 import basaltport.identifiers as identifiers
 import basaltport.member as member
 import basaltport.messages as messages
 import basaltport.started as started
-import tests.keepers as keepers
+import tests.controllers as controllers
 
-others = keepers.others
+others = controllers.others
 
 
 def world(seed, members):
     """Founded, with one edition; orders to replicas are not looked at."""
-    w = keepers.founded(seed, members, editions=1)
+    w = controllers.founded(seed, members, editions=1)
     w.do_order = lambda n, e: None
     return w
 
@@ -33,7 +33,7 @@
     me = member.Me(
         "house", name, n.seat, "ledger", "z", n.addr, "", w.seeds, 0, voters="ledgers", founders=[]
     )
-    n.member = role.Keeper(me, 7, w.now, None, identifiers.Term(), w.placement())
+    n.member = role.Controller(me, 7, w.now, None, identifiers.Term(), w.placement())
     n.life += 1
     w.tick(n, n.life)
 
@@ -62,7 +62,7 @@
 
 
 def different(edition):
-    return {**keepers.document(edition), "limits": {**keepers.LIMITS, "body_bytes": 1_000_000}}
+    return {**controllers.document(edition), "limits": {**controllers.LIMITS, "body_bytes": 1_000_000}}
 
 
 @pytest.mark.parametrize("cut_after", [0, 100, 200, 300, 400, 500, 700, 1000, 1500, 2500])
@@ -81,7 +81,7 @@
     w.cut(leader, near)
     w.cut(leader, far)
     w.run(4000)
-    calls = [w.ask(leader, "configure", change="left", base=1, document=keepers.document(2))]
+    calls = [w.ask(leader, "configure", change="left", base=1, document=controllers.document(2))]
     for k in (near, far):
         calls.append(w.ask(k, "configure", change="right", base=1, document=different(2)))
     w.run(4500)
@@ -221,8 +221,8 @@
     n = w.nodes[others(w)[0]]
     held, promised = n.disk.load().ok_value
     for began, votes in ((w.now, False), (w.now - timing.VOTE_REFUSAL, True)):
-        keeper = role.Keeper(n.member.me, 7, w.now, held, promised, w.placement(), began=began)
-        assert keeper.may_vote() is votes
+        controller = role.Controller(n.member.me, 7, w.now, held, promised, w.placement(), began=began)
+        assert controller.may_vote() is votes
 
 
 def test_programs_note_when_they_began_before_they_import_the_rest():
@@ -237,7 +237,7 @@
     voter, other = (w.nodes[k].member for k in others(w))
     name = other.me.name
     me = member.Me("house", name, "twin", "ledger", "z", "10.9.9.9:1", "", w.seeds, 0, voters="ledgers")
-    twin = role.Keeper(me, 7, w.now, other.copy(), other.promised, w.placement())
+    twin = role.Controller(me, 7, w.now, other.copy(), other.promised, w.placement())
     terms = [other.next_term(), twin.next_term()]
     assert terms[0].count == terms[1].count and terms[0] != terms[1]
     voter.heard_at = voter.now - timing.ELECTION_TIMEOUT
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -193,7 +193,7 @@
 
 
 def test_settings_of_both_roles():
-    for role in ("keeper", "proxy"):
+    for role in ("controller", "proxy"):
         s, fs = local.translate(FILE, role)
         assert fs == []
         assert s["address"] == "10.1.0.12:7660" and s["seeds"] == ["10.1.0.15:7660", "10.2.0.25:7660"]
@@ -209,7 +209,7 @@
     doc["listenOn"] = {"counter": "10.1.0.12:8144", "readiness": "10.1.0.12:8140"}
     assert local.translate(doc, "proxy")[1] == []
     doc["listenOn"] = {"controlPort": "10.1.0.12:8146"}
-    assert [f["place"] for f in local.translate(doc, "keeper")[1]] == ["stateDir", "cloudApi.address"]
+    assert [f["place"] for f in local.translate(doc, "controller")[1]] == ["stateDir", "cloudApi.address"]
 
 
 def test_wrong_settings_are_told_together():
@@ -225,6 +225,17 @@
     assert got == {"ipAddr", "innerPortRange", "timings.drainMs", "seedStations", "station"}
 
 
+def test_the_former_name_of_a_role_still_answers_and_names_the_new_one():
+    cmd = [sys.executable, "platform/run.py", "keeper"]
+    got = subprocess.run(cmd, cwd=ROOT, env={"PATH": os.environ["PATH"]}, capture_output=True, text=True)
+    assert got.returncode == 2
+    lines = got.stderr.splitlines()
+    assert lines == [
+        "run.py: the role keeper is now called controller",
+        "BASALTPORT_SETTINGS: not set",
+    ]
+
+
 @pytest.mark.parametrize("text", ["{", "[]", "\xff", '{"zone": 3}'])
 def test_the_program_prints_findings_and_ends(tmp_path, text):
     path = tmp_path / "local.json"
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -89,7 +89,7 @@
     assert [e.replica for e in got] == ["a", "a"]
 
 
-def test_the_keeper_is_asked_at_its_own_spacing_and_never_more_than_ten_times_a_second():
+def test_the_controller_is_asked_at_its_own_spacing_and_never_more_than_ten_times_a_second():
     s = Sim([row("a", models=())])
     s.ask("once", deadline=3000)
     s.m.on_facts({"birch": {"state": "loading", "retry_after_ms": 10, "expected_ms": 500}})
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -19,8 +19,8 @@
 import basaltport.scale.part as part
 import basaltport.scale.size as size_
 import basaltport.scale.table as table
-import tests.keeper_parts as parts
-import tests.keepers as keepers
+import tests.controller_parts as parts
+import tests.controllers as controllers
 import tests.test_fleet as checks
 
 SIZE = size_.Size(4, 8, 5, 23)
@@ -78,7 +78,7 @@
 
 
 def test_a_hollow_node_reports_what_a_node_with_traffic_would():
-    w = keepers.World(1, 3, packed=True)
+    w = controllers.World(1, 3, packed=True)
     w.until(lambda: w.settled("k1", "k2", "k3"), 3000)
     w.proxy_of = lambda me, seed: hollow.Hollow(me, seed, w.now, SIZE, 20.0, 30)
     w.listing = [{**r, "leaves_in_ms": None} for r in size_.rows(SIZE).values()]
--- a/tests/test_transfers.py
+++ b/tests/test_transfers.py
@@ -3,13 +3,13 @@
 import basaltport.consensus.feed as feed
 import basaltport.events as events
 import basaltport.messages as messages
-import tests.keepers as keepers
+import tests.controllers as controllers
 
 
 def led():
     """A leader, and the seat of a follower that is cut off from it."""
-    w = keepers.founded(1, 3, editions=1)
-    follower = keepers.others(w)[0]
+    w = controllers.founded(1, 3, editions=1)
+    follower = controllers.others(w)[0]
     w.cut(w.leader(), follower)
     return w, w.nodes[w.leader()].member, w.nodes[follower].seat
 
