--- a/basaltport/query_api/log_node.py
+++ b/basaltport/query_api/log_node.py
@@ -14,7 +14,7 @@
 RETRY = 1000
 
 
-class Ledger(
+class LogNode(
     elect.ElectMixin,
     lead.LeadMixin,
     duties.DutyMixin,
