--- a/tests/test_mutations.py
+++ b/tests/test_mutations.py
@@ -10,8 +10,8 @@
 import basaltport.consensus.lead as lead
 import basaltport.consensus.seat as seat
 import basaltport.cold_start.routine as routine
-import basaltport.simulation.standins.backend as backend
-import basaltport.simulation.scenarios.scenarios as scenarios
+import basaltport.simulation.query_api.standins.backend as backend
+import basaltport.simulation.query_api.scenarios.scenarios as scenarios
 import basaltport.query_api.query_proxy.claims as claims
 import basaltport.query_api.query_proxy.comeback as comeback
 import basaltport.query_api.query_proxy.dispatch as dispatch
