--- a/basaltport/simulation/query_api/world/stage.py
+++ b/basaltport/simulation/query_api/world/stage.py
@@ -8,7 +8,7 @@
 import basaltport.simulation.query_api.world.senders as senders
 import basaltport.simulation.query_api.world.world as world
 
-EXAMPLES = pathlib.Path(__file__).parent.parent.parent / "examples"
+EXAMPLES = pathlib.Path(__file__).parent.parent.parent.parent / "examples"
 
 
 def example(name):
