--- a/tests/test_mutations.py
+++ b/tests/test_mutations.py
@@ -9,7 +9,7 @@
 import basaltport.consensus.feed as feed
 import basaltport.consensus.lead as lead
 import basaltport.consensus.seat as seat
-import basaltport.cold_start.routine as routine
+import basaltport.query_api.query_proxy.model_readiness as routine
 import basaltport.simulation.query_api.standins.backend as backend
 import basaltport.simulation.query_api.scenarios.scenarios as scenarios
 import basaltport.query_api.query_proxy.claims as claims
