--- a/basaltport/controller/admin_api.py
+++ b/basaltport/controller/admin_api.py
@@ -129,8 +129,8 @@
 # proxies
 
 
-def proxy_admin(shell, now=identifiers.steady):
-    """For a RelayShell."""
+def of_proxy(shell, now=identifiers.steady):
+    """For a ProxyServer."""
 
     def explain(query):
         if not query.get("host") or not query.get("path", "").startswith("/"):
