--- a/basaltport/controller/admin_api.py
+++ b/basaltport/controller/admin_api.py
@@ -100,7 +100,7 @@
 
 
 def controller_admin(shell, now=identifiers.steady):
-    """For a KeeperShell. What the leader alone knows is asked of it: 307 to it; 503 where none is known, with
+    """For a ControllerServer. What the leader alone knows is asked of it: 307 to it; 503 where none is known, with
     what this controller knows itself, as `?own=1` gives it at any time."""
 
     def listed():
@@ -129,7 +129,7 @@
 # proxies
 
 
-def of_proxy(shell, now=identifiers.steady):
+def proxy_admin(shell, now=identifiers.steady):
     """For a ProxyServer."""
 
     def explain(query):
--- a/basaltport/local_fleet/port.py
+++ b/basaltport/local_fleet/port.py
@@ -38,7 +38,7 @@
 
 
 class Port:
-    """The platform's part for `KeeperShell`, in the product's own words."""
+    """The platform's part for `ControllerServer`, in the product's own words."""
 
     def __init__(self, settings: PortSettings) -> None:
         """Keep the addresses; `start` opens the connections."""
--- a/basaltport/scale/part.py
+++ b/basaltport/scale/part.py
@@ -7,7 +7,7 @@
 import signal
 import sys
 
-import basaltport.controller.server as server
+import basaltport.controller.server as controller_server
 import basaltport.identifiers as identifiers
 import basaltport.proxy.server as server
 import basaltport.proxy.header_names as header_names
@@ -69,7 +69,7 @@
         return r and {"models": {m: list(a) for m, a in r["models"].items()}, "busy": False, "orders": 0}
 
 
-class Controller(server.ControllerServer):
+class Controller(controller_server.ControllerServer):
     """Notes when it first held its lead, by generation."""
 
     def __init__(self, settings, port):
--- a/tests/fleet_stand.py
+++ b/tests/fleet_stand.py
@@ -12,7 +12,7 @@
 import basaltport.member as member
 import basaltport.placement.machine as machine
 import basaltport.proxy.node as node
-import tests.keepers as keepers
+import tests.controllers as controllers
 import tests.live as live
 import tests.proxy_stand as stand
 
