--- a/basaltport/controller/admin_api.py
+++ b/basaltport/controller/admin_api.py
@@ -100,7 +100,7 @@
 
 
 def controller_admin(shell, now=identifiers.steady):
-    """For a ControllerServer. What the leader alone knows is asked of it: 307 to it; 503 where none is known, with
+    """For a ControllerServer. What only the leader knows is asked of it: 307 to it; 503 with none, and
     what this controller knows itself, as `?own=1` gives it at any time."""
 
     def listed():
