--- a/basaltport/controller/node.py
+++ b/basaltport/controller/node.py
@@ -1,4 +1,4 @@
-"""The keeper: agreement among keepers, operators' asks, placement and the feed to proxies in one reducer."""
+"""The controller: consensus, operators' requests, placement and the feed to proxies in one reducer."""
 
 import basaltport.consensus.campaign as campaign
 import basaltport.consensus.roster as roster
--- a/basaltport/controller/shard_ownership.py
+++ b/basaltport/controller/shard_ownership.py
@@ -1,4 +1,4 @@
-"""Orders to replicas, cut by key over the keepers: slices are owned under a fence, by leased owners.
+"""Orders to replicas, cut by key over the controllers: slices are owned under a fence, by leased owners.
 
 The leader plans and gives slices by agreed entries; the serial of an entry is the fence of what it gives.
 Whom it takes a slice from has stopped before: its lease is over, or it has applied that the slice is no
@@ -46,7 +46,7 @@
 
 @messages.message(51)
 class OrderResult:
-    """`outcome` as in `keeper.events.Ordered`; failed where nothing was sent."""
+    """`outcome` as in `controller.events.Ordered`; failed where nothing was sent."""
 
     gen: identifiers.Term
     order: int
@@ -87,7 +87,7 @@
         return self.book.get("slices") or {}
 
     def see_slices(self):
-        """Since when each slice's row is known to be in force, on this keeper's clock."""
+        """Since when each slice's row is known to be in force, on this controller's clock."""
         self.top_seen = max(self.top_seen, self.book["serial"])
         rows = self.slices()
         if rows is self.seen_of:
@@ -111,7 +111,7 @@
         return self.holds() if self.leading else self.leased()
 
     def owns(self, replica, fence):
-        """Whether this keeper alone may order there now."""
+        """Whether this controller alone may order there now."""
         i = shard_of(replica)
         r = self.slices().get(i)
         if self.stopped or r is None or r["owner"] != self.me.seat or r["fence"] != fence:
@@ -197,7 +197,7 @@
     # the leader
 
     def lead_start(self, *args):
-        """Every other keeper may be leased by who led before, but for one that handed over itself."""
+        """Every other controller may be leased by who led before, but for one that handed over itself."""
         gen, ceded = self.head()[0], self.ceded
         super().lead_start(*args)
         self.lease_end = -1
