--- a/basaltport/controller/server.py
+++ b/basaltport/controller/server.py
@@ -1,4 +1,4 @@
-"""The shell round a keeper: wires to keepers and proxies, the disk, and the platform's port for all else."""
+"""The process of a controller: its connections, its disk, and the platform's port for all else."""
 
 import asyncio
 import concurrent.futures
@@ -117,7 +117,7 @@
         self.me.seeds = list(seeds)
 
     def acts(self, e):
-        """Whether this keeper alone may send this order, as of now."""
+        """Whether this controller alone may send this order, as of now."""
         self.member.now = max(self.member.now, identifiers.steady())
         return self.member.owns(e.replica, e.fence)
 
--- a/basaltport/local_fleet/process.py
+++ b/basaltport/local_fleet/process.py
@@ -1,4 +1,4 @@
-"""One process of the local fleet: a keeper, a proxy, or all stand-in replicas."""
+"""One process of the local fleet: a controller, a proxy, or all stand-in replicas."""
 
 import asyncio
 import json
@@ -20,7 +20,7 @@
 
 
 async def run_controller(settings: dict[str, typing.Any]) -> None:
-    """Serve as a keeper until a signal ends the process."""
+    """Serve as a controller until a signal ends the process."""
     addresses = port.PortSettings(settings["listing"]["address"], settings["operators"])
     await controller_server.ControllerServer(settings, port.Port(addresses)).run()
 
@@ -41,7 +41,7 @@
     await replicas.stop()
 
 
-ROLES = {"keeper": run_controller, "proxy": run_proxy, "stand-ins": run_stand_ins}
+ROLES = {"controller": run_controller, "proxy": run_proxy, "stand-ins": run_stand_ins}
 
 
 async def _run_for(process: messages.ProcessSettings) -> None:
--- a/basaltport/query_api/query_proxy/model_readiness.py
+++ b/basaltport/query_api/query_proxy/model_readiness.py
@@ -4,6 +4,7 @@
 import http
 import typing
 
+import basaltport.cold_start.decision as decision
 import basaltport.cold_start.limits as limits
 import basaltport.identifiers as identifiers
 import basaltport.log_events as log_events
@@ -19,7 +20,6 @@
 
 ANSWER_WAITED_MS = 400
 CELLS_WAITED_MS = 1500
-MAX_SPACING_MS = 1500
 MIN_RETRY_AFTER_MS = 200
 REMEMBERED_REQUESTS = 2000
 LOADED = model_state.LOADED
@@ -70,32 +70,37 @@
     def is_warm(self, item: identifiers.Item) -> bool:
         """Whether an item served so lately that it need not be asked for."""
         known = self.model_states.get(item)
-        if known is None or known.last_served_at is None:
+        if known is None:
             return False
-        if known.kept:
-            return True
-        return bool(self.now - known.last_served_at < limits.warm_for(known.idle_window_ms))
+        sign = decision.WarmSign(known.kept, known.last_served_at, known.idle_window_ms)
+        return decision.is_warm(sign, self.now)
 
     def load_left(self, item: identifiers.Item) -> int:
         """How long an item's load is expected to take still, in milliseconds."""
         known = self.model_state(item)
         loading_ms = self.now - known.loading_since if known.state == LOADING else 0
-        return max(0, known.expected_load_ms - loading_ms)
+        return decision.load_left_ms(known.expected_load_ms, loading_ms)
 
     # the shared wait
 
     def ready_or_wait(self, waiting: request.Request) -> final_answers.Rejection | None:
         """Mark a request ready, or let it wait for its item; rejected where it cannot outlast the load."""
         item = waiting.item
-        if self.is_warm(item) and self.usable(item):
+        may_be_held = bool(self.usable(item))
+        known = self.model_state(item)
+        arrival = decision.on_arrival(
+            is_warm=may_be_held and self.is_warm(item),
+            may_be_held=may_be_held,
+            remaining_ms=waiting.deadline - self.now,
+            expected_load_ms=known.expected_load_ms,
+        )
+        if arrival is decision.Arrival.SEND:
             waiting.ready = True
             return None
-        known = self.model_state(item)
-        expected_ms = known.expected_load_ms
-        if expected_ms and waiting.deadline - self.now < expected_ms and not self.usable(item):
+        if arrival is decision.Arrival.FAIL:
             detail = self.too_short_detail(waiting, known)
             status = http.HTTPStatus.GATEWAY_TIMEOUT
-            return final_answers.Rejection(status, "deadline-too-short", detail, expected_ms)
+            return final_answers.Rejection(status, "deadline-too-short", detail, known.expected_load_ms)
         waiting.ready = False
         waiting.waiting_since = self.now
         self.wait_for(waiting)
@@ -114,8 +119,8 @@
         wait = LoadWait(item, self.now, self.now, waiting.rule.pool, self.zones_for(item))
         self.load_waits[item] = wait
         asked_at = self.model_state(item).asked_at
-        if self.now - asked_at < limits.POLL:
-            wait.next_at = asked_at + limits.POLL
+        if self.now - asked_at < limits.POLL_SPACING_FLOOR_MS:
+            wait.next_at = asked_at + limits.POLL_SPACING_FLOOR_MS
             return
         self.ask_next_zone(wait)
 
@@ -144,7 +149,7 @@
     def ask_next_zone(self, wait: LoadWait) -> None:
         """Ask the next zone for the load; without one the item is unavailable."""
         if self.must_hear_cells():
-            wait.next_at = self.now + limits.POLL // 4
+            wait.next_at = self.now + limits.POLL_SPACING_FLOOR_MS // 4
             return
         if not wait.zones:
             self.item_unavailable(wait.item, "no zone can hold it")
@@ -197,9 +202,10 @@
         if wait.request_number != message.request_number and message.state not in (LOADED, LOADING):
             return
         wait.answered = True
-        if message.state == LOADED:
+        step = decision.after_answer(message.state)
+        if step is decision.WaitStep.READY:
             self.load_ended(wait, known)
-        elif message.state == LOADING:
+        elif step is decision.WaitStep.POLL:
             self.load_goes_on(wait, known, message)
         else:
             wait.zones.pop(0)
@@ -228,7 +234,8 @@
                 zone=message.zone,
                 expected_ms=message.expected,
             )
-        wait.next_at = self.now + min(limits.spacing(message.retry_after), MAX_SPACING_MS)
+        asked_at = known.asked_at
+        wait.next_at = decision.next_ask_at(decision.JSON_API, asked_at, self.now, message.retry_after)
         self.reject_too_short(message.item, known)
 
     def item_unavailable(self, item: identifiers.Item, reason: str) -> None:
@@ -240,9 +247,9 @@
 
     def reject_too_short(self, item: identifiers.Item, known: ModelState) -> None:
         """Reject before sending what cannot outlast the load; time already waited counts for it."""
-        left_ms = max(0, known.expected_load_ms - (self.now - known.loading_since))
+        left_ms = decision.load_left_ms(known.expected_load_ms, self.now - known.loading_since)
         for waiting in self.waiting_for(item):
-            if waiting.deadline - self.now < left_ms:
+            if decision.is_too_short(waiting.deadline - self.now, left_ms):
                 detail = self.too_short_detail(waiting, known)
                 retry_after_ms = max(left_ms, MIN_RETRY_AFTER_MS)
                 status = http.HTTPStatus.GATEWAY_TIMEOUT
@@ -305,10 +312,14 @@
         """End a request whose item was not ready within its limit."""
         rule = self.rules.items.get(waiting.item)
         ready_timeout_ms = waiting.rule.ready_timeout or (rule.ready_timeout if rule else 0)
-        limit_ms = limits.limit(ready_timeout_ms, known.expected_load_ms)
-        waited_ms = self.now - waiting.waiting_since
-        if waited_ms >= limit_ms:
+        wait = decision.Wait(
+            waiting.waiting_since, waiting.deadline, ready_timeout_ms, known.expected_load_ms
+        )
+        ends_at = decision.wait_ends_at(decision.JSON_API, wait)
+        if self.now >= ends_at:
             phase = known.state or "asking"
+            limit_ms = ends_at - waiting.waiting_since
+            waited_ms = self.now - waiting.waiting_since
             detail = f"limit {limit_ms} ms ended, phase {phase}, waited {waited_ms} ms"
             self.reject(waiting, http.HTTPStatus.GATEWAY_TIMEOUT, "readiness-timeout", detail)
 
--- a/basaltport/query_api/query_proxy/retries.py
+++ b/basaltport/query_api/query_proxy/retries.py
@@ -3,6 +3,7 @@
 import http
 import typing
 
+import basaltport.cold_start.decision as decision
 import basaltport.log_events as log_events
 import basaltport.query_api.query_proxy.interface as interface
 import basaltport.query_api.query_proxy.model_state as model_state
@@ -44,13 +45,9 @@
         late, attempt = check.request, check.attempt
         if late.id not in self.requests:
             return
-        is_cold = False
-        if known is not None:
-            since = known.serving_since
-            is_cold = known.state not in (model_state.LOADED, "") or (
-                since is not None and since > attempt.sent_at
-            )
-        code = "cold-load-timeout" if is_cold else "request-timeout"
+        state = known.state if known else decision.LoadState.UNKNOWN
+        serving_since = known.serving_since if known else None
+        code = decision.timeout_phase(state, serving_since, attempt.sent_at).value
         self.note(log_events.Event.TIMEOUT_CLASSIFIED, query=late.id, item=late.item, phase=code)
         if not self.retry(late):
             detail = f"{late.item} on {attempt.replica_id} after {self.now - attempt.sent_at} ms"
@@ -65,10 +62,9 @@
 
     def may_retry(self, failed: request.Request) -> bool:
         """Once, only where repeats are harmless, only within budget and time."""
-        too_late = self.now >= failed.deadline - self.least_time(failed.item)
-        if failed.rule.once_only or failed.retried or too_late:
-            return False
-        return self.retry_credit(failed, spend=False)
+        in_time = self.now < failed.deadline - self.least_time(failed.item)
+        bounds = decision.ResendBounds(not failed.retried, in_time, self.retry_credit(failed, spend=False))
+        return decision.may_resend(not failed.rule.once_only, bounds)
 
     def retry(self, failed: request.Request) -> bool:
         """Send a request that may have run again, after readiness; whether that may be."""
--- a/basaltport/query_api/zone_controller/model_status.py
+++ b/basaltport/query_api/zone_controller/model_status.py
@@ -55,10 +55,11 @@
         """The answer to a request."""
         rule = self.rules.items.get(message.item)
         declared_ms = rule.expected if rule else 0
-        expected_ms = limits.expected(zone.recent_loads_ms.get(message.item), declared_ms)
+        recent_ms = zone.recent_loads_ms.get(message.item)
+        expected_ms = identifiers.Millis(limits.expected_load_ms(recent_ms, declared_ms))
         item = self.item_state(zone, message.item, message.wake)
         half_left_ms = (expected_ms - item.loading_ms) // 2
-        retry_after_ms = max(limits.POLL, min(half_left_ms, MAX_RETRY_AFTER_MS))
+        retry_after_ms = max(limits.POLL_SPACING_FLOOR_MS, min(half_left_ms, MAX_RETRY_AFTER_MS))
         return messages.ModelStatus(
             message.request_number,
             zone.zone,
--- a/basaltport/query_api/zone_controller/zone_controller.py
+++ b/basaltport/query_api/zone_controller/zone_controller.py
@@ -158,7 +158,7 @@
             if now_held.is_loaded() and not was_loaded and now_held.load_ms > 0:
                 recent = zone.recent_loads_ms.setdefault(item, [])
                 recent.append(now_held.load_ms)
-                del recent[: -limits.RECENT]
+                del recent[: -limits.RECENT_LOADS]
         for item, load in list(known.ordered.items()):
             if item in held or self.now - load.ordered_at > placement.ORDER_EXPIRY_MS:
                 del known.ordered[item]
--- a/basaltport/simulation/routes/nodes.py
+++ b/basaltport/simulation/routes/nodes.py
@@ -218,11 +218,11 @@
     def differs(self, n: Node, b: typing.Any) -> None:
         raise AssertionError((n.name, b["serial"]))
 
-    def keepers(self) -> list[Node]:
+    def controllers(self) -> list[Node]:
         return [n for n in self.nodes.values() if n.disk and n.member]
 
     def up(self) -> list[Node]:
-        return [n for n in self.keepers() if not n.frozen]
+        return [n for n in self.controllers() if not n.frozen]
 
     def leader(self) -> str | None:
         """The name of the one that holds, or None."""
--- a/tests/fleet_stand.py
+++ b/tests/fleet_stand.py
@@ -1,4 +1,4 @@
-"""Keepers and a proxy in a known state on virtual time, served over HTTP on 127.0.0.1 by a thread."""
+"""Controllers and a proxy in a known state on virtual time, served over HTTP on 127.0.0.1 by a thread."""
 
 import asyncio
 import random
@@ -12,7 +12,7 @@
 import basaltport.member as member
 import basaltport.placement.machine as machine
 import basaltport.proxy.node as node
-import tests.keepers as keepers
+import tests.controllers as controllers
 import tests.live as live
 import tests.proxy_stand as stand
 
@@ -36,7 +36,7 @@
     return d
 
 
-class World(keepers.World):
+class World(controllers.World):
     def placement(self):
         return machine.Placement(random.Random(1))
 
@@ -106,7 +106,7 @@
 
 
 class Fleet:
-    """Three keepers and a proxy that follows; one replica holds birch, and alder is wanted for a while."""
+    """Three controllers and a proxy that follows; one replica holds birch, and alder is wanted a while."""
 
     def __init__(self):
         self.w = w = World(1)
--- a/tests/test_adr_0041.py
+++ b/tests/test_adr_0041.py
@@ -82,7 +82,7 @@
 
 
 def test_else_300_s():
-    assert limits.limit(0, 0) == 300_000
+    assert limits.readiness_limit_ms(0, 0) == 300_000
     n = node.Node()
     assert _limit_ends(n, node.first_request_number(n.query()), 300_000) == (
         300_000,
@@ -102,9 +102,9 @@
 
 
 def test_warm_ends_at_the_window_less_the_larger_of_10_s_and_a_fifth():
-    assert limits.warm_for(0) == 48_000
-    assert limits.warm_for(40_000) == 30_000
-    assert limits.warm_for(100_000) == 80_000
+    assert limits.warm_for_ms(0) == 48_000
+    assert limits.warm_for_ms(40_000) == 30_000
+    assert limits.warm_for_ms(100_000) == 80_000
     for left, asks in ((1, 0), (0, 1)):
         n = node.warm(node.Node(), idle_window=100_000)
         n.now += 80_000 - left
@@ -254,7 +254,7 @@
 
 
 def test_the_expected_load_is_the_90th_percentile_of_the_last_20():
-    assert limits.expected([], 700) == 700
-    assert limits.expected([5], 700) == 5
-    assert limits.expected(list(range(1, 21)), 0) == 18
-    assert limits.expected([10**6] + list(range(1, 21)), 0) == 18
+    assert limits.expected_load_ms([], 700) == 700
+    assert limits.expected_load_ms([5], 700) == 5
+    assert limits.expected_load_ms(list(range(1, 21)), 0) == 18
+    assert limits.expected_load_ms([10**6] + list(range(1, 21)), 0) == 18
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -14,14 +14,14 @@
 import basaltport.member as member
 import basaltport.messages as messages
 import basaltport.started as started
-import tests.keepers as keepers
+import tests.controllers as controllers
 
-others = keepers.others
+others = controllers.others
 
 
 def world(seed, members):
     """Founded, with one edition; orders to replicas are not looked at."""
-    w = keepers.founded(seed, members, editions=1)
+    w = controllers.founded(seed, members, editions=1)
     w.do_order = lambda n, e: None
     return w
 
@@ -62,7 +62,7 @@
 
 
 def different(edition):
-    return {**keepers.document(edition), "limits": {**keepers.LIMITS, "body_bytes": 1_000_000}}
+    return {**controllers.document(edition), "limits": {**controllers.LIMITS, "body_bytes": 1_000_000}}
 
 
 @pytest.mark.parametrize("cut_after", [0, 100, 200, 300, 400, 500, 700, 1000, 1500, 2500])
@@ -81,7 +81,7 @@
     w.cut(leader, near)
     w.cut(leader, far)
     w.run(4000)
-    calls = [w.ask(leader, "configure", change="left", base=1, document=keepers.document(2))]
+    calls = [w.ask(leader, "configure", change="left", base=1, document=controllers.document(2))]
     for k in (near, far):
         calls.append(w.ask(k, "configure", change="right", base=1, document=different(2)))
     w.run(4500)
@@ -221,8 +221,8 @@
     n = w.nodes[others(w)[0]]
     held, promised = n.disk.load().ok_value
     for began, votes in ((w.now, False), (w.now - timing.VOTE_REFUSAL, True)):
-        keeper = role.Controller(n.member.me, 7, w.now, held, promised, w.placement(), began=began)
-        assert keeper.may_vote() is votes
+        controller = role.Controller(n.member.me, 7, w.now, held, promised, w.placement(), began=began)
+        assert controller.may_vote() is votes
 
 
 def test_programs_note_when_they_began_before_they_import_the_rest():
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -91,7 +91,7 @@
     assert [e.replica for e in got] == ["a", "a"]
 
 
-def test_the_keeper_is_asked_at_its_own_spacing_and_never_more_than_ten_times_a_second():
+def test_the_controller_is_asked_at_its_own_spacing_and_never_more_than_ten_times_a_second():
     s = Sim([row("a", models=())])
     s.ask("once", deadline=3000)
     s.m.on_facts({"birch": {"state": "loading", "retry_after_ms": 10, "expected_ms": 500}})
@@ -117,7 +117,7 @@
 
 def test_what_waits_is_refused_as_soon_as_it_is_too_late_not_at_the_deadline():
     s = Sim([row("a", models=())])
-    s.m.first["write"] = 400
+    s.m.first_byte_ms["write"] = 400
     s.ask("once", deadline=2000)
     got = s.wait(2000)
     assert [type(e) for e in got] == [events.Close]
