--- a/basaltport/query_api/admin/http_server.py
+++ b/basaltport/query_api/admin/http_server.py
@@ -47,11 +47,8 @@
         """`error` is for programs, `detail` for people."""
         super().__init__(detail)
         self.status = status
-        self.body: Document = {"error": error, "changed": False}
-        if findings is None:
-            self.body["detail"] = detail
-        else:
-            self.body["findings"] = findings
+        reason = {"detail": detail} if findings is None else {"findings": findings}
+        self.body: Document = {"error": error, **reason, "changed": False}
 
     def response(self) -> aiohttp.web.Response:
         """The answer to the request."""
--- a/basaltport/query_api/query_proxy/http_server.py
+++ b/basaltport/query_api/query_proxy/http_server.py
@@ -86,8 +86,13 @@
             body = {"query": self.request_id, "ran": "yes", "reply": doc.get("reply")}
             self.respond(http.HTTPStatus.OK, body, "yes")
             return
-        body = final_answers.answer_body(self.request_id, "replica-failed", doc.get("error", ""), "yes")
-        body["retry_after_ms"] = REPLICA_FAILED_RETRY_MS
+        body = {
+            "query": self.request_id,
+            "ran": "yes",
+            "error": "replica-failed",
+            "detail": doc.get("error", ""),
+            "retry_after_ms": REPLICA_FAILED_RETRY_MS,
+        }
         self.respond(http.HTTPStatus.BAD_GATEWAY, body, "yes", REPLICA_FAILED_RETRY_MS)
 
     async def repeat(self, status: int, response: Document) -> None:
