--- /dev/null
+++ b/basaltport/model/electorate.py
@@ -0,0 +1,43 @@
+"""Which sets of seats another leader could be elected by, told from a leader's own log.
+
+Whoever is elected has every committed entry in its log, and the next change of members is appended only once
+the one before is committed. So a candidate decides by the roster that is agreed or by the newest, one change
+further; in a joint change it needs both of its rosters. `docs/control-safety.md` has the argument."""
+
+import collections.abc
+import typing
+
+import basaltport.consensus.book as book
+import basaltport.consensus.quorum as quorum
+
+Book = quorum.Book
+Seats = quorum.Seats
+
+
+def rosters(agreed: Book, tail: collections.abc.Iterable[dict[str, typing.Any]]) -> list[list[Seats]]:
+    """For the agreed book and each change behind it: the sets of voters that must each give a majority."""
+    at = agreed
+    found = [quorum.voter_sets(at)]
+    for entry in tail:
+        at = book.apply(at, entry)
+        if (of := quorum.voter_sets(at)) != found[-1]:
+            found.append(of)
+    return found
+
+
+def elects(seats: Seats, voters: list[Seats]) -> bool:
+    """Whether `seats` are a majority of each set of voters."""
+    return all(2 * len(seats & of) > len(of) for of in voters)
+
+
+def excluded(seats: Seats, voters: list[Seats]) -> bool:
+    """Whether those that are not among `seats` can elect nobody."""
+    others = {seat for of in voters for seat in of} - seats
+    return not elects(others, voters)
+
+
+def bears(seats: Seats, candidates: list[list[Seats]]) -> bool:
+    """Whether the word of `seats` is enough: it is a majority's, by the agreed roster or the newest, and by
+    none that a candidate may decide by can the other seats elect anybody."""
+    whole = elects(seats, candidates[0]) or elects(seats, candidates[-1])
+    return whole and all(excluded(seats, voters) for voters in candidates)
--- /dev/null
+++ b/tests/model_word_mutations.py
@@ -0,0 +1,43 @@
+"""Rules of whose answers make a majority's word, broken on purpose; see `model_mutations`."""
+
+import basaltport.consensus.lead as lead
+import basaltport.consensus.quorum as quorum
+import basaltport.model.random_search as random_search
+import tests.model_mutations as model_mutations
+
+Mutation = model_mutations.Mutation
+Rule = model_mutations.Rule
+
+
+def vouch_by_anybody(self):
+    """As many as a majority of the newest roster, whoever they are."""
+    need = max(map(len, quorum.voter_sets(self.tip_book))) // 2 + 1
+    answered = sorted(map(self.beat_seen, {self.me.seat, *self.seen_n}), reverse=True)
+    n = answered[need - 1] if len(answered) >= need else 0
+    self.vouched_n = max(self.vouched_n, n)
+    self.vouched = max(self.vouched, self.beats.get(n, -1))
+
+
+def pending_other_than_members(self, *ops):
+    return pending_as_is(self, *(op for op in ops if op not in ("roster", "joint")))
+
+
+pending_as_is = lead.LeadMixin.pending
+
+
+MUTATIONS = [
+    Mutation(
+        "word of those without a vote",
+        {Rule.WORD},
+        [(lead.LeadMixin, "vouch", vouch_by_anybody)],
+        range(8, 60),
+        random_search.living_name,
+    ),
+    Mutation(
+        "change of members before the last is agreed",
+        {Rule.WORD},
+        [(lead.LeadMixin, "pending", pending_other_than_members)],
+        range(26, 60),
+        members=5,
+    ),
+]
