--- /dev/null
+++ b/basaltport/consensus/leaving.py
@@ -0,0 +1,72 @@
+"""A member that is told to stop: it says so, and goes on voting until the others have removed it."""
+
+import basaltport.consensus.quorum as quorum
+import basaltport.consensus.timing as timing
+import basaltport.messages as messages
+
+LEAST = 3
+
+
+def spare(seats, live):
+    """How many of the live seats may be lost with most of all seats left."""
+    return live - seats // 2 - 1
+
+
+def worth_dropping(seats, live):
+    """Whether some of the seats that are not live can go, one by one, so that more losses are borne, and
+    LEAST seats are left."""
+    most = min(seats - live, seats - LEAST)
+    return any(spare(seats - n, live) > spare(seats, live) for n in range(1, most + 1))
+
+
+class LeavingMixin:
+    """`gone`: when each member that leaves last said so."""
+
+    def leaving_start(self):
+        self.gone = {}
+        self.leave_at = None
+        if self.policy.joint_consensus:
+            self.listeners.heartbeat_heard.append(self.tell_leader)
+
+    def on_stop(self, ev):
+        """A leader hands over. Whoever will be removed goes on voting until then: see `released`."""
+        for call in self.listeners.stopping:
+            call()
+        self.stopped = True
+        self.stopped_at = self.now
+        if self.policy.joint_consensus:
+            self.say_leave(self.voter_addrs())
+        if self.leading:
+            self.hand_over("it stops")
+
+    def say_leave(self, addrs):
+        self.leave_at = self.now
+        for a in addrs:
+            self.send(a, messages.Leave(self.me.seat))
+
+    def tell_leader(self, m):
+        """A leader that was elected since is told as well that this member leaves."""
+        if self.stopped and self.now - self.leave_at >= timing.LEAVE_AGAIN:
+            self.say_leave([m.addr])
+
+    def hear_leave(self, src, m):
+        if not self.policy.joint_consensus:
+            self.follower_stops(m.seat)
+            return
+        self.gone[m.seat] = self.now
+        self.learners.pop(m.seat, None)
+
+    def see_return(self, s):
+        """One that acknowledges long after it said that it leaves has come back."""
+        if self.now - self.gone.get(s, self.now) > timing.LEFT:
+            del self.gone[s]
+
+    def released(self):
+        """Whether the process may end after `Stop`: it votes no more, or the others will not remove it,
+        or it has waited for that long enough. Until then a further loss may need its vote (M8)."""
+        if not self.stopped or self.now - self.stopped_at >= timing.LEAVE_WAIT:
+            return True
+        seats = quorum.voters(self.book)
+        if self.me.seat not in seats:
+            return True
+        return "former" not in self.book and not worth_dropping(len(seats), len(seats) - 1)
--- /dev/null
+++ b/basaltport/consensus/membership.py
@@ -0,0 +1,108 @@
+"""Who votes: new members learn first, and one change is agreed before the next; replacement is by joint
+consensus."""
+
+import basaltport.consensus.leaving as leaving
+import basaltport.consensus.timing as timing
+import basaltport.consensus.discovery as discovery
+import basaltport.consensus.quorum as quorum
+
+CHANGES = ("roster", "joint", "final", "found", "lead")
+
+
+class MembershipMixin:
+    """`learners`: rows by seat of those that are fed but do not vote."""
+
+    def clear_learners(self):
+        self.learners = {}
+
+    def learn(self):
+        """Members that said hello lately and do not vote yet are fed the log."""
+        if not self.policy.joint_consensus:
+            return
+        voters = quorum.voters(self.tip_book)
+        heard = self.heard_within(timing.LEARNER)
+        fresh = {m["seat"]: m for m in heard if m["role"] == discovery.DISK_ROLE}
+        self.learners = {s: m for s, m in fresh.items() if s not in voters and s not in self.gone}
+        self.needs |= {s for s in self.learners if s not in self.match and s not in self.sent}
+
+    def keep_roster(self):
+        if self.policy.joint_consensus:
+            self.change_one_member()
+            return
+        self.take_all_members()
+
+    def change_one_member(self):
+        """Ends a joint change; new rows of known seats; then a seat that has caught up; then one less that is
+        silent. Single steps change one seat, so that majorities before and after meet; where one member takes
+        another's place both rosters decide until that is agreed."""
+        # M8: one change at a time, each committed before the next; M4: by a leader that holds its lease.
+        if not self.holds() or self.pending(*CHANGES):
+            return
+        if "former" in self.tip_book:
+            self.append({"op": "final"})
+            return
+        roster = self.tip_book["roster"]
+        for m in [*self.heard_within(timing.LEARNER), self.me.row()]:
+            if m["seat"] in roster and roster[m["seat"]] != m:
+                self.append({"op": "roster", "add": m})
+                return
+        self.add_seat(roster) or self.drop_seat(roster)
+
+    def quiet(self, s):
+        """Milliseconds since a seat was last heard, as far as this leader could hear it."""
+        if s == self.me.seat:
+            return 0
+        return self.now - max(self.acks.get(s, self.since), self.awake_at)
+
+    def ready(self, s):
+        """Whether a learner has all that is agreed, synced, and answers."""
+        caught_up = self.match.get(s, -1) >= self.book["serial"]
+        return caught_up and self.now - self.acks.get(s, -(10**9)) < timing.RESPONSIVE
+
+    def add_seat(self, roster):
+        """A learner that is ready takes the place of its former self or of a seat that is lost; where all
+        others live it comes beside them. While a seat may be lost, it waits for what becomes of it."""
+        # M8: it has all that is committed before it votes.
+        s = min((s for s in self.learners if self.ready(s)), default=None)
+        if s is None:
+            return False
+        row = self.learners[s]
+        old = self.replaced_by(row, roster)
+        if old is None and any(self.quiet(x) > timing.RESPONSIVE for x in roster):
+            return False
+        self.note(16, member=row["name"], seat=s)
+        if old is None:
+            self.append({"op": "roster", "add": row})
+        else:
+            self.append({"op": "joint", "drops": [old], "adds": [row]})
+        return True
+
+    def replaced_by(self, row, roster):
+        """The seat whose place a new member takes, or None: the one at its address, whose process is no
+        more, else of the lost ones the one of its name first."""
+        for s in sorted(roster):
+            if roster[s]["addr"] == row["addr"]:
+                return s
+        lost = [s for s in roster if self.lost_seat(s)]
+        return min(lost, key=lambda s: (roster[s]["name"] != row["name"], self.drop_order(s)), default=None)
+
+    def lost_seat(self, s):
+        """Whether a seat said lately that it leaves, or was not heard for long."""
+        if s == self.me.seat:
+            return False
+        leaves = s in self.gone and self.now - self.gone[s] < timing.LEAVE_WAIT
+        return leaves or self.quiet(s) > timing.SILENT
+
+    def drop_order(self, s):
+        """Those that said so go first, then the one heard of longest ago."""
+        return s not in self.gone, self.acks.get(s, self.since), s
+
+    def drop_seat(self, roster):
+        """Lost seats go, one at a time, where without them more losses are borne."""
+        lost = [s for s in roster if self.lost_seat(s)]
+        if not lost or not leaving.worth_dropping(len(roster), len(roster) - len(lost)):
+            return False
+        s = min(lost, key=self.drop_order)
+        self.note(17, member=roster[s]["name"], seat=s)
+        self.append({"op": "roster", "drops": [s]})
+        return True
--- /dev/null
+++ b/basaltport/consensus/node.py
@@ -0,0 +1,72 @@
+"""The nodes of agreement, put together: a follower, which votes and never leads, and one that may lead."""
+
+import basaltport.consensus.discovery as discovery
+import basaltport.consensus.election as election
+import basaltport.consensus.follower as follower
+import basaltport.consensus.follower_lease as follower_lease
+import basaltport.consensus.founding as founding
+import basaltport.consensus.leader_lease as leader_lease
+import basaltport.consensus.leadership as leadership
+import basaltport.consensus.leadership_transfer as leadership_transfer
+import basaltport.consensus.leaving as leaving
+import basaltport.consensus.listeners as listeners
+import basaltport.consensus.membership as membership
+import basaltport.consensus.open_membership as open_membership
+import basaltport.consensus.read_index as read_index
+import basaltport.consensus.replication as replication
+import basaltport.consensus.snapshot_transfer as snapshot_transfer
+import basaltport.consensus.voter as voter
+import basaltport.identifiers as identifiers
+import basaltport.member as member
+
+NO_TERM = identifiers.Term()
+
+
+class FollowerNode(
+    discovery.DiscoveryMixin,
+    voter.VoterMixin,
+    snapshot_transfer.SnapshotTransferMixin,
+    follower.FollowerMixin,
+    member.Member,
+):
+    """A member that votes, holds the log and follows whoever leads. `policy`: as its house agrees; `held`:
+    what its disk had; `promised`: the highest term that is on it; `began`: when the process began."""
+
+    leading = False
+
+    def __init__(self, me, seed, now, policy, held=None, promised=NO_TERM, began=None):
+        member.Member.__init__(self, me, seed, now)
+        self.policy = policy
+        self.listeners = listeners.Listeners()
+        self.began = now if began is None else began
+        self.follower_start(held, promised)
+        self.voter_start(promised)
+        self.discovery_start()
+
+
+class ConsensusNode(
+    election.ElectionMixin,
+    founding.FoundingMixin,
+    leadership.LeadershipMixin,
+    leader_lease.LeaderLeaseMixin,
+    read_index.ReadIndexMixin,
+    replication.ReplicationMixin,
+    follower_lease.FollowerLeaseMixin,
+    leadership_transfer.LeadershipTransferMixin,
+    leaving.LeavingMixin,
+    membership.MembershipMixin,
+    open_membership.OpenMembershipMixin,
+    FollowerNode,
+):
+    """A member that may lead as well. Whoever builds on it gives `echo_for`, `acknowledge`, `unknown`,
+    `respond` and `serve_read`."""
+
+    durable = True
+
+    def __init__(self, me, seed, now, policy, held=None, promised=NO_TERM, began=None):
+        FollowerNode.__init__(self, me, seed, now, policy, held, promised, began)
+        self.lead_clear()
+        self.listeners.log_synced.append(self.own_log_synced)
+        self.transfer_start()
+        self.leaving_start()
+        self.elect_start()
--- a/basaltport/consensus/feed.py
+++ b/basaltport/consensus/replication.py
@@ -1,20 +1,22 @@
-"""The feed: beats with what each seat lacks, and the echoes that lengthen leases."""
+"""The leader's replication: heartbeats with what each member lacks, their acknowledgements, and what is
+committed."""
 
 import dataclasses
 
-import basaltport.identifiers as identifiers
 import basaltport.consensus.book as book
-import basaltport.consensus.seat as seat
+import basaltport.consensus.follower as follower
+import basaltport.consensus.quorum as quorum
+import basaltport.identifiers as identifiers
 import basaltport.messages as messages
 import basaltport.text as text
 
-BEAT = 200
 RESEND = 250
 SLOWEST_LINK = 300
 """Bytes a millisecond that any link carries, with room: half of 5 Mbit/s."""
 LARGE = 1 << 20
 AT_ONCE = 4
-MARGIN = 150
+REMEMBERED_BEATS = 100
+NEVER = -(10**9)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -33,17 +35,35 @@
         return self.at + RESEND + self.size // SLOWEST_LINK
 
 
-class FeedMixin:
-    """Needs LeadMixin."""
+class ReplicationMixin:
+    """`match`: up to where each member has synced this leader's log; `acks`: when each last acknowledged."""
+
+    def replication_start(self, got):
+        self.match = {}
+        self.sent = {}
+        self.transfers = {}
+        self.acks = dict.fromkeys(got, self.now)
+        self.beats = {}
+        self.echoes = {}
+        self.beat_at = NEVER
+        self.n = 0
+        self.needs = set()
+
+    # heartbeats
 
     def beat(self):
+        """Not to a seat at whose address another process runs by now."""
+        self.learn()
         self.beat_at = self.now
         self.n += 1
         self.beats[self.n] = self.now
-        self.beats.pop(self.n - 100, None)
-        for s, r in self.tip_book["roster"].items():
-            if s != self.me.seat:
+        self.beats.pop(self.n - REMEMBERED_BEATS, None)
+        taken = {r["addr"] for r in self.learners.values()}
+        for s, r in quorum.voters(self.tip_book).items():
+            if s != self.me.seat and r["addr"] not in taken:
                 self.beat_to(s, r)
+        for s, r in self.learners.items():
+            self.beat_to(s, r)
         self.vouch()
 
     def beat_to(self, s, r):
@@ -70,7 +90,7 @@
     def load_for(self, s):
         """What a seat lacks: entries with what stands before them, or a copy; large ones a few at a time."""
         head = self.head()
-        at, upto = self.sent.get(s, (-(10**9), 0))
+        at, upto = self.sent.get(s, (NEVER, 0))
         m = self.match.get(s)
         if s in self.needs:
             es, copy, pg, ps = [], self.copy(), *head
@@ -91,6 +111,21 @@
         self.note_transfer(s, size, bool(copy))
         return es or [], copy, pg, ps
 
+    def entries_from(self, s):
+        """Entries after serial s with what stands before them, or None where only a copy will do."""
+        have = {book.serial(self.book): book.gen(self.book)}
+        have.update({k: book.gen_of(e) for k, e in self.retained.items()})
+        have.update({e["s"]: book.gen_of(e) for e in self.tail})
+        if s not in have:
+            return None, *self.head()
+        es = [self.retained[k] for k in sorted(self.retained) if k > s] + [e for e in self.tail if e["s"] > s]
+        # M6: entries that leave a gap are not sent.
+        if not book.contiguous(es, s):
+            return None, *self.head()
+        return es, have[s], identifiers.LogIndex(s)
+
+    # transfers in flight
+
     def note_transfer(self, s, size, whole=False):
         """What is sent while more is on its way comes behind it; what is whole makes up for all before."""
         first = Transfer(self.n, self.now, 0, self.book["serial"], 0)
@@ -124,28 +159,71 @@
         """How many large transfers may be under way."""
         return sum(t.size > LARGE and self.on_its_way(s) for s, t in self.transfers.items())
 
-    def entries_from(self, s):
-        """Entries after serial s with what stands before them, or None where only a copy will do."""
-        have = {book.serial(self.book): book.gen(self.book)}
-        have.update({k: book.gen_of(e) for k, e in self.past.items()})
-        have.update({e["s"]: book.gen_of(e) for e in self.tail})
-        if s not in have:
-            return None, *self.head()
-        es = [self.past[k] for k in sorted(self.past) if k > s] + [e for e in self.tail if e["s"] > s]
-        if not book.contiguous(es, s):
-            return None, *self.head()
-        return es, have[s], identifiers.LogIndex(s)
+    # acknowledgements
 
-    def echo_for(self, s, r):
-        if r["role"] != "rostrum" or s not in self.echoes or s in self.left:
-            return 0
-        k, at, applied = self.echoes[s]
-        if applied < self.acked or self.late(applied):
-            return 0
-        self.lapse[s] = max(self.lapse.get(s, 0), at + seat.LEASE + MARGIN)
-        return k
-
-    def late(self, applied):
-        return any(
-            w["serial"] > applied and self.now - w["committed"] > 400 for w in self.waiting if w["committed"]
-        )
+    def hear_ack(self, src, m):
+        if not self.leading:
+            return
+        if not m.ok:
+            if m.promised > self.promised:
+                self.step_down(f"generation {m.promised.text()}")
+                self.top = max(self.top, m.promised.count)
+            return
+        # M1: only members of this leader's term count.
+        if m.promised == self.promised:
+            self.take_ack(m)
+        self.see_return(m.seat)
+        if m.need and m.seat in self.needs and m.seat in self.learners:
+            self.beat_to(m.seat, self.learners[m.seat])
+
+    def take_ack(self, m):
+        self.acks[m.seat] = self.now
+        self.note_seen(m.seat, m.n)
+        if m.need:
+            self.feed_anew(m)
+            return
+        es, g, s = self.entries_from(m.serial)
+        # M1: what it has synced counts only as far as it is this leader's log.
+        if es is not None and g == m.hgen:
+            self.match[m.seat] = max(m.serial, self.match.get(m.seat, 0))
+        self.see_transfer(m)
+        e = self.echoes.get(m.seat)
+        if e is None or m.k > e[0] or m.k >> follower.LIFE != e[0] >> follower.LIFE:
+            self.echoes[m.seat] = (m.k, self.now, m.applied)
+        self.count()
+        self.settle()
+
+    def feed_anew(self, m):
+        """A member says that it can't join on what it was sent."""
+        if self.to_come(m):
+            return
+        self.needs.add(m.seat)
+        r = self.tip_book["roster"].get(m.seat)
+        if r:
+            self.beat_to(m.seat, r)
+
+    # commitment
+
+    def own_log_synced(self):
+        if self.leading and self.dur_promised == self.promised:
+            self.match[self.me.seat] = self.dur[1]
+            self.count()
+            self.settle()
+
+    def count(self):
+        """Agreed: held by most seats, synced by most disk members, and of this leader's term."""
+        t = self.tip_book
+        was = self.book["serial"]
+        for e in reversed(self.tail):
+            # M3: an entry of an older term is committed by one of this leader's term behind it.
+            if book.gen_of(e) != self.promised:
+                break
+            have = {s for s, m in self.match.items() if m >= e["s"]}
+            if not quorum.has_majority(t, have) or not quorum.is_majority(have, set(t["ledgers"])):
+                continue
+            self.advance(e["s"], book.gen_of(e))
+            break
+        if self.book["serial"] == was:
+            return
+        self.note_committed()
+        self.beat()
--- /dev/null
+++ b/basaltport/consensus/snapshot_transfer.py
@@ -0,0 +1,35 @@
+"""Whole copies of the agreed state and the entries behind it, for members that lack too much."""
+
+import basaltport.consensus.book as book
+import basaltport.messages as messages
+
+
+class SnapshotTransferMixin:
+    """Gives and takes copies; what is in force never goes back by one."""
+
+    def copy(self):
+        return {"book": self.book, "tail": list(self.tail)}
+
+    def hear_fetch(self, src, m):
+        if m.gen != self.promised:
+            return
+        addr = self.addr_of(m.seat)
+        if addr:
+            self.send(addr, messages.Copy(m.gen, self.me.seat, self.copy()))
+
+    def install(self, copy):
+        """Takes a copy over; what is in force here stays so: of a copy whose book is older only the entries
+        behind what is in force are taken, and of one that does not reach it nothing."""
+        was = self.book["serial"]
+        # M6: what is in force never goes back.
+        if copy["book"]["serial"] >= was:
+            self.book, self.tail = copy["book"], list(copy["tail"])
+            self.write([], whole=self.copy())
+            self.state_applied()
+            self.retained_behind(was)
+            return
+        at = book.serial(self.book)
+        if not any(e["s"] == at and book.gen_of(e) == book.gen(self.book) for e in copy["tail"]):
+            return
+        self.tail = [e for e in copy["tail"] if e["s"] > at]
+        self.write([], whole=self.copy())
--- a/basaltport/controller/desk.py
+++ b/basaltport/controller/desk.py
@@ -153,11 +153,11 @@
             return
         self.undecided(w["src"], w["call"], w["verb"], open)
 
-    def step_down(self, why):
+    def leave_reads_open(self):
+        """Before this leader steps down: the next one answers its reads."""
         reads, self.reads = self.reads, []
         for r in reads:
             self.left_open(r, r["asked"], 0)
-        super().step_down(why)
 
     # changes
 
--- a/basaltport/controller/duties.py
+++ b/basaltport/controller/duties.py
@@ -6,9 +6,8 @@
 
 import zlib
 
-import basaltport.consensus.feed as feed
-import basaltport.consensus.seat as seat
-import basaltport.consensus.voters as voters
+import basaltport.consensus.follower as follower
+import basaltport.consensus.follower_lease as follower_lease
 import basaltport.identifiers as identifiers
 import basaltport.messages as messages
 import basaltport.placement.effects as effects
@@ -78,6 +77,10 @@
         self.top_seen = 0
         self.forget_orders()
         self.see_slices()
+        self.listeners.stopping.append(self.resign_at_stop)
+        self.listeners.heartbeat_heard.append(self.resign_again)
+        self.listeners.leader_resigned.append(self.note_resigned)
+        self.listeners.leadership_started.append(self.duties_lead_start)
 
     def forget_orders(self):
         self.put_out = {}
@@ -142,14 +145,13 @@
             return
         self.send(address, m)
 
-    def on_stop(self, ev):
+    def resign_at_stop(self):
         """Whoever leads need not wait for this one's lease."""
         if not self.leading and self.leader is not None:
             self.send(self.leader.addr, Resign(self.me.seat, self.ack_k))
-        super().on_stop(ev)
 
-    def hear_beat(self, src, m):
-        super().hear_beat(src, m)
+    def resign_again(self, m):
+        """A leader that was elected since is told as well."""
         if self.stopped and not self.leading:
             self.send(m.addr, Resign(self.me.seat, self.ack_k))
 
@@ -196,29 +198,27 @@
 
     # the leader
 
-    def lead_start(self, *args):
+    def duties_lead_start(self, got):
         """Every other keeper may be leased by who led before, but for one that handed over itself."""
-        gen, ceded = self.head()[0], self.ceded
-        super().lead_start(*args)
+        gen, ceded = self.former_term, self.ceded
         self.lease_end = -1
         rows = self.tip_book.get("slices") or {}
         seats = {*self.tip_book["roster"], *(r[k] for r in rows.values() for k in ("owner", "was"))}
-        until = self.now + voters.LEASE + feed.MARGIN
+        until = self.now + self.policy.follower_lease_ms + follower_lease.MARGIN
         self.duty_lapse = {s: until for s in seats if s != self.me.seat and ceded != (gen, s)}
         self.duty_since = {}
         self.resigned = {}
         self.uneven_at = self.moved_at = self.now
 
-    def hear_yield(self, src, m):
-        if self.leader is not None and self.leader.gen == m.gen:
-            self.ceded = (m.gen, self.leader.seat)
-        super().hear_yield(src, m)
+    def note_resigned(self, m):
+        """The leader that is followed hands over."""
+        self.ceded = (m.gen, self.leader.seat)
 
     def hear_resign(self, src, m):
         e = self.echoes.get(m.seat) if self.leading else None
-        if e is None or e[0] >> seat.LIFE != m.k >> seat.LIFE:
+        if e is None or e[0] >> follower.LIFE != m.k >> follower.LIFE:
             return
-        self.resigned[m.seat] = m.k >> seat.LIFE
+        self.resigned[m.seat] = m.k >> follower.LIFE
         self.duty_lapse.pop(m.seat, None)
 
     def echo_for(self, s, r):
@@ -229,14 +229,16 @@
         if self.gave_up(s) or applied < self.top_fence():
             return 0
         self.duty_since.setdefault(s, self.now)
-        self.duty_lapse[s] = max(self.duty_lapse.get(s, 0), at + voters.LEASE + feed.MARGIN)
+        self.duty_lapse[s] = max(
+            self.duty_lapse.get(s, 0), at + self.policy.follower_lease_ms + follower_lease.MARGIN
+        )
         return k
 
     def top_fence(self):
         return max((r["fence"] for r in (self.tip_book.get("slices") or {}).values()), default=0)
 
     def gave_up(self, s):
-        return s in self.resigned and self.resigned[s] == self.echoes[s][0] >> seat.LIFE
+        return s in self.resigned and self.resigned[s] == self.echoes[s][0] >> follower.LIFE
 
     def duty_held(self, s):
         """Whether a seat may believe that it is leased."""
--- a/basaltport/controller/role.py
+++ b/basaltport/controller/role.py
@@ -1,13 +1,10 @@
 """The keeper: agreement among keepers, operators' asks, placement and the feed to proxies in one reducer."""
 
-import basaltport.consensus.campaign as campaign
-import basaltport.consensus.roster as roster
-import basaltport.consensus.seat as seat
-import basaltport.consensus.voters as voters
+import basaltport.consensus.node as node
+import basaltport.consensus.voting_policy as voting_policy
 import basaltport.fleet.publish as publish
 import basaltport.controller.desk as desk
 import basaltport.controller.duties as duties
-import basaltport.member as member
 import basaltport.placement.effects as effects
 import basaltport.placement.machine as machine
 import basaltport.text as text
@@ -22,24 +19,19 @@
 
 class Keeper(
     duties.DutiesMixin,
-    campaign.CampaignMixin,
     desk.DeskMixin,
     publish.PublishMixin,
-    roster.RosterMixin,
-    voters.VoterMixin,
-    member.Member,
+    node.ConsensusNode,
 ):
     """`placement`: as `placement.machine.Placement`; `lease_ms`: how long a replica is left alone between the
     orders of two executors; `began`: when the process began, after the end of its machine's last one."""
 
     TICKS = ("tick_disk", "tick_hello", "tick_elect", "tick_lead", "tick_desk", "tick_duties", "tick_place")
-    durable = True
 
     def __init__(
-        self, me, seed, now, held=None, promised=seat.NONE, placement=None, lease_ms=LEASE, began=None
+        self, me, seed, now, held=None, promised=node.NO_TERM, placement=None, lease_ms=LEASE, began=None
     ):
-        member.Member.__init__(self, me, seed, now)
-        self.began = now if began is None else began
+        node.ConsensusNode.__init__(self, me, seed, now, voting_policy.DISK_MEMBERS, held, promised, began)
         self.placement = machine.Placement(self.rng) if placement is None else placement
         self.placement.hold_ms = HOLD
         self.placement.may_order = self.may_order
@@ -47,15 +39,15 @@
         self.placing = None
         self.placed_of = None
         self.put_off = []
-        self.lead_clear()
-        self.seat_start(held, promised)
-        self.elect_start()
         self.desk_start()
+        self.listeners.leadership_ending.append(self.leave_reads_open)
         self.publish_start()
         self.duties_start()
         self.kept_at = self.book["serial"]
         self.unkept = 0
         self.retry_at = now
+        self.listeners.state_applied.append(self.keep_snapshot)
+        self.listeners.entry_retained.append(self.count_unkept)
 
     def step(self, ev):
         super().step(ev)
@@ -74,11 +66,11 @@
             self.retry_at = self.now
             self.write([], whole=self.copy())
 
-    def keep_past(self, e):
-        super().keep_past(e)
+    def count_unkept(self, e):
         self.unkept += text.size(e)
 
-    def in_force(self):
+    def keep_snapshot(self):
+        """Now and then the log begins anew behind a snapshot."""
         if self.book["serial"] - self.kept_at < SNAPSHOT_EVERY and self.unkept < SNAPSHOT_BYTES:
             return
         self.kept_at, self.unkept = self.book["serial"], 0
--- a/basaltport/fleet/publish.py
+++ b/basaltport/fleet/publish.py
@@ -2,7 +2,8 @@
 
 import typing
 
-import basaltport.consensus.feed as feed
+import basaltport.consensus.listeners as listeners
+import basaltport.consensus.replication as replication
 import basaltport.fleet.messages as messages
 import basaltport.identifiers as identifiers
 import basaltport.member as member
@@ -61,7 +62,7 @@
     def sent(self, size: int, now: int) -> None:
         """Note an update: one after another they take their time over the slowest link."""
         self.sent_at = now
-        self.arrives = max(self.arrives, now) + size // feed.SLOWEST_LINK
+        self.arrives = max(self.arrives, now) + size // replication.SLOWEST_LINK
 
     def lost(self, what: str, has: int, now: int) -> bool:
         """Whether it has said for RESEND that it has this much and no more, though more must have arrived."""
@@ -88,11 +89,12 @@
     me: member.Me
     now: identifiers.Millis
     book: Row
-    past: dict[int, Row]
+    retained: dict[int, Row]
     leading: bool
     leader: typing.Any
     promised: identifiers.Term
     placement: Placed
+    listeners: listeners.Listeners
 
     def send(self, addr: str, msg: object) -> None:
         """Send a message to an address."""
@@ -108,15 +110,7 @@
 
 
 if typing.TYPE_CHECKING:
-
-    class Needs(PublishNeeds):
-        """What `super()` reaches in the keeper."""
-
-        def lead_start(self, *args: object) -> None:
-            """Begin to lead."""
-
-        def step_down(self, why: str) -> None:
-            """Lead no more."""
+    Needs = PublishNeeds
 else:
     Needs = object
 
@@ -125,7 +119,13 @@
     """`rows_known`: the list was read since this one leads."""
 
     def publish_start(self) -> None:
-        """Begin without proxies."""
+        """Begin without proxies, and act when this keeper begins to lead and when it ends."""
+        self.listeners.leadership_started.append(self.publish_to_new_proxies)
+        self.listeners.leadership_ended.append(self.redirect_proxies)
+        self.forget_proxies()
+
+    def forget_proxies(self) -> None:
+        """Nothing is known of any proxy."""
         self.proxies: dict[str, Proxy] = {}
         self.rows_known = False
         self.feed_n = 0
@@ -136,22 +136,18 @@
 
     def publish_clear(self) -> None:
         """Forget all proxies and what was published."""
-        self.publish_start()
+        self.forget_proxies()
         self.placement.changed.clear()
 
-    def lead_start(self, *args: object) -> None:
+    def publish_to_new_proxies(self, votes: Row) -> None:
         """This keeper leads: proxies are told anew."""
-        super().lead_start(*args)
         self.publish_clear()
 
-    def step_down(self, why: str) -> None:
-        """Proxies look for the next leader at once."""
-        was, gen = self.leading, self.promised
-        super().step_down(why)
-        if was:
-            m = messages.Redirect(gen, NOBODY, "", self.keepers())
-            for p in self.proxies.values():
-                self.send(p.address, m)
+    def redirect_proxies(self) -> None:
+        """This keeper leads no more: proxies look for the next leader at once."""
+        m = messages.Redirect(self.promised, NOBODY, "", self.keepers())
+        for p in self.proxies.values():
+            self.send(p.address, m)
         self.publish_clear()
 
     def keepers(self) -> list[str]:
@@ -252,8 +248,8 @@
     def book_for(self, serial: int) -> BookPart:
         """Entries after a serial, or a copy of what proxies need where those are not here or are more."""
         top = self.book["serial"]
-        here = top - serial <= len(self.past)
-        es = [self.past.get(k) for k in range(serial + 1, top + 1)] if here else [None]
+        here = top - serial <= len(self.retained)
+        es = [self.retained.get(k) for k in range(serial + 1, top + 1)] if here else [None]
         if serial and all(es) and sum(map(text.size, es)) <= text.size(self.book) + SMALL:
             return BookPart([e for e in es if e], {})
         return BookPart([], {k: self.book[k] for k in COPIED if k in self.book})
--- a/basaltport/member.py
+++ b/basaltport/member.py
@@ -93,6 +93,7 @@
         self.token = 0
         self.after: dict[int, tuple[object, list[object], bool]] = {}
         self.stalled: dict[int, tuple[identifiers.Millis, int, int]] = {}
+        self.synced_promise: list[identifiers.Term] = []
         self.ticks = 0
         self.bad = False
 
--- a/basaltport/query_api/failure_detection/duties.py
+++ b/basaltport/query_api/failure_detection/duties.py
@@ -5,7 +5,7 @@
 import hashlib
 import typing
 
-import basaltport.consensus.seat as seat
+import basaltport.consensus.voting_policy as voting_policy
 import basaltport.identifiers as identifiers
 import basaltport.log_events as log_events
 
@@ -47,6 +47,7 @@
     now: identifiers.Millis
     since: int
     fresh: bool
+    policy: voting_policy.VotingPolicy
     tip_book: Row
     left: collections.abc.Container[str]
     lapse: dict[str, int]
@@ -85,7 +86,7 @@
         """Propose owners for the keys that have none or lost theirs."""
         if not self.settled() or self.pending("duty"):
             return
-        if self.now < self.since + (SWAPPED if self.fresh else seat.LEASE):
+        if self.now < self.since + (SWAPPED if self.fresh else self.policy.follower_lease_ms):
             return
         t = self.tip_book
         if t["manifest"] is None:
--- a/basaltport/query_api/query_proxy/role.py
+++ b/basaltport/query_api/query_proxy/role.py
@@ -3,9 +3,9 @@
 import basaltport.query_api.failure_detection.ring as ring
 import basaltport.admin.desk as desk
 import basaltport.configuration.rules as rules
-import basaltport.consensus.seat as seat
+import basaltport.consensus.node as node
+import basaltport.consensus.voting_policy as voting_policy
 import basaltport.log_events as log_events
-import basaltport.member as member
 import basaltport.messages as messages
 import basaltport.cold_start.routine as routine
 import basaltport.query_api.query_proxy.claims as claims
@@ -34,8 +34,7 @@
     cell.CellMixin,
     ring.RingMixin,
     desk.AskMixin,
-    seat.SeatMixin,
-    member.Member,
+    node.FollowerNode,
 ):
     TICKS = (
         "tick_hello",
@@ -52,7 +51,7 @@
     )
 
     def __init__(self, me, seed, now):
-        member.Member.__init__(self, me, seed, now)
+        node.FollowerNode.__init__(self, me, seed, now, voting_policy.ALL_MEMBERS)
         self.rules = rules.compile(None, 0)
         self.rules_serial = -1
         self.compiled = None
@@ -72,9 +71,10 @@
         self.desk_start()
         self.claim_start()
         self.keep_start()
-        self.seat_start()
+        self.listeners.state_applied.append(self.use_agreed_state)
 
-    def in_force(self):
+    def use_agreed_state(self):
+        """The agreed state that is in force here is newer."""
         if self.book["mserial"] != self.rules_serial:
             m = self.book["manifest"]
             self.rules = rules.compile(m, self.book["mserial"], self.compiled, self.rules)
--- a/tests/model_mutations.py
+++ b/tests/model_mutations.py
@@ -10,13 +10,17 @@
 import unittest.mock
 
 import basaltport.consensus.book as book
-import basaltport.consensus.campaign as campaign
-import basaltport.consensus.lead as lead
+import basaltport.consensus.discovery as discovery
+import basaltport.consensus.election as election
+import basaltport.consensus.follower as follower
+import basaltport.consensus.leadership as leadership
+import basaltport.consensus.leaving as leaving
+import basaltport.consensus.membership as membership
 import basaltport.consensus.quorum as quorum
-import basaltport.consensus.roster as roster
-import basaltport.consensus.seat as seat
+import basaltport.consensus.replication as replication
+import basaltport.consensus.snapshot_transfer as snapshot_transfer
 import basaltport.consensus.timing as timing
-import basaltport.consensus.voters as voters
+import basaltport.consensus.voter as voter
 import basaltport.fleet.follow as follow
 import basaltport.fleet.publish as publish
 import basaltport.controller.desk as desk
@@ -115,18 +119,18 @@
         self.promised = promised
 
 
-campaign_as_is = campaign.CampaignMixin.campaign
+campaign_as_is = election.ElectionMixin.campaign
 
 
 def win_without_fetch(self):
     c = self.camp
-    if self.dur_promised == c["gen"] and self.head()[1] and self.may_stand() and self.quorum(c["got"]):
+    if self.dur_promised == c.term and self.head()[1] and self.may_stand() and self.quorum(c.votes):
         self.win()
         return
     weigh_as_is(self)
 
 
-weigh_as_is = campaign.CampaignMixin.weigh
+weigh_as_is = election.ElectionMixin.weigh
 
 
 def never(self, *args):
@@ -152,7 +156,7 @@
         self.dur = was
 
 
-ack_as_is = seat.SeatMixin.ack_for
+ack_as_is = follower.FollowerMixin.ack_for
 
 
 def append_over(self, op):
@@ -162,7 +166,7 @@
     return append_as_is(self, op)
 
 
-append_as_is = lead.LeadMixin.append
+append_as_is = leadership.LeadershipMixin.append
 
 
 def count_alone(self):
@@ -175,7 +179,7 @@
         quorum.has_majority, quorum.is_majority = have, majority
 
 
-count_as_is = lead.LeadMixin.count
+count_as_is = replication.ReplicationMixin.count
 
 
 def one_roster(b):
@@ -193,14 +197,15 @@
 
 
 def install_older(self, copy):
-    self.book, self.tail = copy["book"], list(copy["tail"])
+    was, self.book, self.tail = self.book["serial"], copy["book"], list(copy["tail"])
     self.write([], whole=self.copy())
-    self.in_force()
+    self.state_applied()
+    self.retained_behind(was)
 
 
 def feed_old_copies(self, s):
     """Now and then a copy as it was some entries ago."""
-    if self.book["serial"] % 3 == 0 and self.past:
+    if self.book["serial"] % 3 == 0 and self.retained:
         self.needs.add(s)
     es, copy, pg, ps = load_as_is(self, s)
     if copy and getattr(self, "older", None):
@@ -209,7 +214,7 @@
     return es, copy, pg, ps
 
 
-load_as_is = lead.LeadMixin.load_for
+load_as_is = replication.ReplicationMixin.load_for
 
 
 def copy_without_changes(self):
@@ -267,13 +272,13 @@
     Mutation(
         "a term led twice",
         {Rule.TERM},
-        [(campaign.CampaignMixin, "campaign", campaign_in_old_term)],
+        [(election.ElectionMixin, "campaign", campaign_in_old_term)],
         range(16, 40),
     ),
     Mutation(
         "lead without the newest log",
         {Rule.AGREED},
-        [(campaign.CampaignMixin, "weigh", win_without_fetch)],
+        [(election.ElectionMixin, "weigh", win_without_fetch)],
         range(1, 60),
     ),
     Mutation(
@@ -286,32 +291,32 @@
     Mutation(
         "vote while a leader is heard",
         {Rule.HOLDERS},
-        [(campaign.CampaignMixin, "hears_leader", never), (seat, "STICKY", 0)],
+        [(voter.VoterMixin, "hears_leader", never)],
         range(1, 40),
     ),
     Mutation(
         "vote right after a restart",
         {Rule.HOLDERS},
-        [(voters.VoterMixin, "may_vote", always)],
+        [(voter.VoterMixin, "may_vote", always)],
         range(2, 400, 2),
         random_search.quick_restart,
     ),
     Mutation(
         "acknowledgement before the sync",
         {Rule.SYNCED},
-        [(seat.SeatMixin, "ack_for", ack_of_unsynced)],
+        [(follower.FollowerMixin, "ack_for", ack_of_unsynced)],
         range(1, 9),
     ),
     Mutation(
         "entry over one that is not agreed",
         {Rule.LOG},
-        [(lead.LeadMixin, "append", append_over)],
+        [(leadership.LeadershipMixin, "append", append_over)],
         range(1, 40),
     ),
     Mutation(
         "commit by the leader alone",
         {Rule.AGREED, Rule.HISTORY},
-        [(lead.LeadMixin, "count", count_alone)],
+        [(replication.ReplicationMixin, "count", count_alone)],
         range(1, 40),
     ),
     Mutation(
@@ -324,14 +329,14 @@
     Mutation(
         "replacement in one step",
         {Rule.AGREED, Rule.HISTORY},
-        [(roster.RosterMixin, "add_seat", add_in_one_step)],
+        [(membership.MembershipMixin, "add_seat", add_in_one_step)],
         range(2, 60, 2),
         random_search.living_name,
     ),
     Mutation(
         "leaver that goes at once",
         {Rule.MAJORITY},
-        [(roster.RosterMixin, "released", always)],
+        [(leaving.LeavingMixin, "released", always)],
         range(23, 60, 2),
         random_search.second_loss,
     ),
@@ -339,9 +344,9 @@
         "copy that sets back",
         {Rule.BACK},
         [
-            (seat.SeatMixin, "install", install_older),
-            (lead.LeadMixin, "load_for", feed_old_copies),
-            (voters.VoterMixin, "hear_beat", seat.SeatMixin.hear_beat),
+            (snapshot_transfer.SnapshotTransferMixin, "install", install_older),
+            (replication.ReplicationMixin, "load_for", feed_old_copies),
+            (follower.FollowerMixin, "in_order", always),
         ],
         range(1, 40),
     ),
@@ -354,7 +359,7 @@
     Mutation(
         "change ids forgotten by a copy",
         {Rule.AGREED},
-        [(seat.SeatMixin, "copy", copy_without_changes)],
+        [(snapshot_transfer.SnapshotTransferMixin, "copy", copy_without_changes)],
         range(1, 200),
         random_search.wiped_leads,
     ),
@@ -377,17 +382,19 @@
         ],
         range(1, 60),
     ),
-    Mutation("nobody learns", {Rule.CATCH_UP}, [(roster.RosterMixin, "learn", nothing)], range(1, 60)),
+    Mutation(
+        "nobody learns", {Rule.CATCH_UP}, [(membership.MembershipMixin, "learn", nothing)], range(1, 60)
+    ),
     Mutation(
         "nobody stands for election",
         {Rule.MAJORITY},
-        [(campaign.CampaignMixin, "canvass", nothing)],
+        [(election.ElectionMixin, "canvass", nothing)],
         range(1, 40),
     ),
     Mutation(
         "an event that raises",
         {Rule.CRASH},
-        [(voters.VoterMixin, "hear_hello", hear_hello_raises)],
+        [(discovery.DiscoveryMixin, "hear_hello", hear_hello_raises)],
         range(1, 2),
     ),
 ]
--- a/tests/model_word_mutations.py
+++ b/tests/model_word_mutations.py
@@ -1,6 +1,7 @@
 """Rules of whose answers make a majority's word, broken on purpose; see `model_mutations`."""
 
-import basaltport.consensus.lead as lead
+import basaltport.consensus.leader_lease as leader_lease
+import basaltport.consensus.leadership as leadership
 import basaltport.consensus.quorum as quorum
 import basaltport.model.random_search as random_search
 import tests.model_mutations as model_mutations
@@ -22,21 +23,21 @@
     return pending_as_is(self, *(op for op in ops if op not in ("roster", "joint")))
 
 
-pending_as_is = lead.LeadMixin.pending
+pending_as_is = leadership.LeadershipMixin.pending
 
 
 MUTATIONS = [
     Mutation(
         "word of those without a vote",
         {Rule.WORD},
-        [(lead.LeadMixin, "vouch", vouch_by_anybody)],
+        [(leader_lease.LeaderLeaseMixin, "vouch", vouch_by_anybody)],
         range(8, 60),
         random_search.living_name,
     ),
     Mutation(
         "change of members before the last is agreed",
         {Rule.WORD},
-        [(lead.LeadMixin, "pending", pending_other_than_members)],
+        [(leadership.LeadershipMixin, "pending", pending_other_than_members)],
         range(26, 60),
         members=5,
     ),
--- a/tests/node.py
+++ b/tests/node.py
@@ -54,7 +54,7 @@
         b["platform"] = {f"x{i}": {"url": f"http://9.9.9.{i}:1", "zone": "z1", "group": "g"} for i in (1, 2)}
         b["duties"] = {"zone/z1": {"owner": "st-s", "fence": 5, "first": True}}
         self.r.book = b
-        self.r.in_force()
+        self.r.use_agreed_state()
         self.r.lease_end = 10**12
         self.r.first_lease = 1
         self.n = 0
--- a/tests/test_control_scenarios.py
+++ b/tests/test_control_scenarios.py
@@ -1,11 +1,14 @@
 """Control machines in trouble on fixed seeds, at the sizes of both deployments; each check is seen red."""
 
+import dataclasses
+
 import pytest
 
 import basaltport.consensus.book as book
-import basaltport.consensus.elect as elect
-import basaltport.consensus.feed as feed
+import basaltport.consensus.election as election
+import basaltport.consensus.replication as replication
 import basaltport.consensus.timing as timing
+import basaltport.consensus.voting_policy as voting_policy
 import basaltport.controller.desk as desk
 import basaltport.controller.role as role
 import basaltport.simulation.routes.control as control
@@ -74,7 +77,11 @@
 
 # mutations
 
-_judged, _load_for, _in_force = desk.DeskMixin.judged, feed.FeedMixin.load_for, role.Keeper.in_force
+_judged, _load_for, _keep_snapshot = (
+    desk.DeskMixin.judged,
+    replication.ReplicationMixin.load_for,
+    role.Keeper.keep_snapshot,
+)
 
 
 def _read_without_majority(self, src, call, verb, body, at, got=None):
@@ -103,7 +110,7 @@
 
 def _falls_back(self):
     """Every tenth configuration brings back the one that was in force first."""
-    _in_force(self)
+    _keep_snapshot(self)
     document = self.book["manifest"]
     if document is None:
         return
@@ -121,7 +128,8 @@
     return (entries, {}, gen, serial) if copy else (entries, copy, gen, serial)
 
 
-NEVER_STEPS_DOWN = [(timing, "STEP_DOWN", 10**6), (timing, "LEADER_LEASE", 10**6)]
+_stubborn = dataclasses.replace(voting_policy.DISK_MEMBERS, leader_step_down_ms=10**6)
+NEVER_STEPS_DOWN = [(voting_policy, "DISK_MEMBERS", _stubborn), (timing, "LEADER_LEASE", 10**6)]
 UNCONFIRMED = (desk.DeskMixin, "confirm", _read_without_majority)
 JUDGED = (desk.DeskMixin, "judged")
 MUTATIONS = [
@@ -134,12 +142,16 @@
     ("holder-behind", "leader-cut-20s", NEVER_STEPS_DOWN),
     ("old-given", "leader-cut-20s", NEVER_STEPS_DOWN),
     ("wrongly-refused", "leader-cut-20s", [(*JUDGED, _refuses_some)]),
-    ("keeper-back", "leader-cut-20s", [(role.Keeper, "in_force", _falls_back)]),
+    ("keeper-back", "leader-cut-20s", [(role.Keeper, "keep_snapshot", _falls_back)]),
     ("two-confirmed", "two-operators-one-number", [(*JUDGED, _no_comparison)]),
     ("refused-but-taken", "two-operators-one-number", [(*JUDGED, _taken_though_refused)]),
     ("repeat-refused", "two-operators-one-number", [(book, "_remember", _forgets_changes)]),
-    ("majority", "loss-in-unplanned-replacement", [(elect.ElectMixin, "quorum", _only_founding)]),
-    ("caught-up", "two-megabytes-over-a-slow-link", [(feed.FeedMixin, "load_for", _sends_no_copy)]),
+    ("majority", "loss-in-unplanned-replacement", [(election.ElectionMixin, "quorum", _only_founding)]),
+    (
+        "caught-up",
+        "two-megabytes-over-a-slow-link",
+        [(replication.ReplicationMixin, "load_for", _sends_no_copy)],
+    ),
 ]
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,6 +1,6 @@
 """The feed from the leading keeper to proxies: whole once, then what changed, never back, and kept unled."""
 
-import basaltport.consensus.feed as feed
+import basaltport.consensus.replication as replication
 import basaltport.consensus.book as book
 import basaltport.events as events
 import basaltport.fleet.messages as messages
@@ -232,4 +232,4 @@
     p.sent(1_000_000, 1000)
     assert not p.lost("serial", 0, 1000)
     assert not p.lost("serial", 0, 2500)
-    assert p.lost("serial", 0, 1000 + 1_000_000 // feed.SLOWEST_LINK + 1)
+    assert p.lost("serial", 0, 1000 + 1_000_000 // replication.SLOWEST_LINK + 1)
--- a/tests/test_log_gaps.py
+++ b/tests/test_log_gaps.py
@@ -22,14 +22,14 @@
     after = book.entry(ahead["serial"] + 1, leader.promised, {"op": "final"})
     follower.tail.append(after)
     follower.advance(after["s"], book.gen_of(after))
-    assert list(follower.past) == [after["s"]]
+    assert list(follower.retained) == [after["s"]]
 
 
 def test_a_leader_with_a_gap_in_what_it_keeps_sends_a_copy():
     w, _, leader = follower_and_leader()
-    oldest = min(leader.past)
+    oldest = min(leader.retained)
     assert leader.entries_from(oldest)[0] is not None
-    del leader.past[oldest + 2]
+    del leader.retained[oldest + 2]
     assert leader.entries_from(oldest)[0] is None
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -6,7 +6,7 @@
 
 import basaltport.consensus.book as book
 import basaltport.consensus.quorum as quorum
-import basaltport.consensus.roster as roster
+import basaltport.consensus.leaving as leaving
 import basaltport.consensus.timing as timing
 import basaltport.events as events
 import basaltport.controller.role as role
@@ -200,10 +200,10 @@
 def test_seats_are_dropped_only_where_more_losses_are_borne_then(size):
     for live in range(size + 1):
         best = max(
-            (roster.spare(left, live) for left in range(max(live, roster.LEAST), size)),
+            (leaving.spare(left, live) for left in range(max(live, leaving.LEAST), size)),
             default=-size,
         )
-        assert roster.worth_dropping(size, live) == (best > roster.spare(size, live))
+        assert leaving.worth_dropping(size, live) == (best > leaving.spare(size, live))
 
 
 def test_while_one_takes_the_place_of_another_both_rosters_decide():
--- a/tests/test_mutations.py
+++ b/tests/test_mutations.py
@@ -5,10 +5,14 @@
 import basaltport.admin.desk as desk
 import basaltport.replica_client.pieces as pieces
 import basaltport.events as events
-import basaltport.consensus.elect as elect
-import basaltport.consensus.feed as feed
-import basaltport.consensus.lead as lead
-import basaltport.consensus.seat as seat
+import basaltport.consensus.election as election
+import basaltport.consensus.follower as follower
+import basaltport.consensus.follower_lease as follower_lease
+import basaltport.consensus.leadership as leadership
+import basaltport.consensus.open_membership as open_membership
+import basaltport.consensus.read_index as read_index
+import basaltport.consensus.replication as replication
+import basaltport.consensus.timing as timing
 import basaltport.cold_start.routine as routine
 import basaltport.simulation.standins.backend as backend
 import basaltport.simulation.scenarios.scenarios as scenarios
@@ -35,7 +39,7 @@
 def _eager_lease(self, s, r):
     if r["role"] != "rostrum" or s not in self.echoes:
         return 0
-    self.lapse[s] = self.echoes[s][1] + seat.LEASE + feed.MARGIN
+    self.lapse[s] = self.echoes[s][1] + self.policy.follower_lease_ms + follower_lease.MARGIN
     return self.echoes[s][0]
 
 
@@ -76,13 +80,13 @@
     if self.leading:
         self.keep_roster()
         self.keep_duties()
-        if self.now - self.beat_at >= feed.BEAT:
+        if self.now - self.beat_at >= timing.HEARTBEAT:
             self.beat()
         self.settle()
 
 
 def _all_live(self, s):
-    return self.quiet(s) < lead.DROP
+    return self.quiet(s) < open_membership.DROP
 
 
 def _no_compare(self, t, body, manifest, op):
@@ -124,10 +128,10 @@
     _reply(self, n, life, e, st)
 
 
-_settle = lead.LeadMixin.settle
+_settle = read_index.ReadIndexMixin.settle
 _reply = backend.BackendMixin.reply
 
-LEAD = lead.LeadMixin
+READ_INDEX = read_index.ReadIndexMixin
 CASES = [
     ("once-only", "replicas-sick", 1, [(routine.ReadinessMixin, "resend", _resend_all)]),
     ("refusal", "replicas-sick", 1, [(dispatch.DispatchMixin, "was_broken", _broken_is_refused)]),
@@ -145,12 +149,25 @@
     ("stream", "streams-cut", 1, [(backend.BackendMixin, "broke_off", _clean_end)]),
     ("leaving", "replica-leaves", 1, [(cell.CellMixin, "may_use", _use_all)]),
     ("emptied", "zone-emptied", 1, [(cell.CellMixin, "may_use", _use_all)]),
-    ("in-force", "core-split", 1, [(seat.SeatMixin, "leased", _leased)]),
-    ("in-force", "storm", 1, [(LEAD, "settle", _hasty)]),
-    ("in-force", "power-cut", 5, [(LEAD, "echo_for", _eager_lease)]),
-    ("in-force", "ledgers-dying", 1, [(LEAD, "heard_of", _all_live), (lead, "STUCK", 10**9)]),
+    ("in-force", "core-split", 1, [(follower.FollowerMixin, "leased", _leased)]),
+    ("in-force", "storm", 1, [(READ_INDEX, "settle", _hasty)]),
+    ("in-force", "power-cut", 5, [(follower_lease.LeaseGrantMixin, "echo_for", _eager_lease)]),
+    (
+        "in-force",
+        "ledgers-dying",
+        1,
+        [(open_membership.OpenMembershipMixin, "heard_of", _all_live), (open_membership, "STUCK", 10**9)],
+    ),
     ("lost-update", "storm", 1, [(desk.DeskMixin, "manifest_op", _no_compare)]),
-    ("acknowledged", "core-split", 1, [(LEAD, "count", _alone), (LEAD, "behind", _never)]),
+    (
+        "acknowledged",
+        "core-split",
+        1,
+        [
+            (replication.ReplicationMixin, "count", _alone),
+            (follower_lease.FollowerLeaseMixin, "behind", _never),
+        ],
+    ),
     (
         "resend",
         "replicas-sick",
@@ -160,8 +177,13 @@
     ("flood", "replicas-restart", 1, [(slots.SlotMixin, "slot_limit", lambda self, p: 8)]),
     ("store", "cold-storm", 1, [(store.StoreMixin, "share_permits", lambda self, m: dict(m.want))]),
     ("room", "cold-storm", 1, [(zone.StewardMixin, "free", lambda self, p: 1000)]),
-    ("read", "core-split", 5, [(LEAD, "settle", _unconfirmed), (LEAD, "tick_lead", _lead_on)]),
-    ("back", "leader-killed", 1, [(elect.ElectMixin, "patience", lambda self: 30_000)]),
+    (
+        "read",
+        "core-split",
+        5,
+        [(READ_INDEX, "settle", _unconfirmed), (leadership.LeadershipMixin, "tick_lead", _lead_on)],
+    ),
+    ("back", "leader-killed", 1, [(election.ElectionMixin, "election_timeout", lambda self: 30_000)]),
 ]
 
 
--- a/tests/test_timing.py
+++ b/tests/test_timing.py
@@ -1,6 +1,5 @@
 """The order of the time constants of agreement, on which leases and elections rest."""
 
-import basaltport.consensus.feed as feed
 import basaltport.consensus.timing as timing
 
 
@@ -9,7 +8,6 @@
 
 
 def test_a_lease_outlives_a_heartbeat_that_was_lost_or_late():
-    assert feed.BEAT == timing.HEARTBEAT
     assert 2 * timing.HEARTBEAT < timing.LEADER_LEASE
 
 
