--- a/basaltport/consensus/book.py
+++ b/basaltport/consensus/book.py
@@ -7,7 +7,7 @@
 import basaltport.configuration.patch as patch
 import basaltport.configuration.routes as routes
 import basaltport.identifiers as identifiers
-import basaltport.query_api.anti_entropy.ranges as ranges
+import basaltport.range_digests as ranges
 
 KEEP = 200
 COPIES = 5
--- a/basaltport/host.py
+++ b/basaltport/host.py
@@ -15,7 +15,7 @@
 import basaltport.identifiers as identifiers
 import basaltport.consensus.journal as journal
 import basaltport.consensus.member_identity as member_identity
-import basaltport.consensus.role as ledger
+import basaltport.query_api.log_node as ledger
 import basaltport.logs as logs
 import basaltport.member as member
 import basaltport.query_api.query_proxy.front as front
--- a/basaltport/query_api/anti_entropy/keep.py
+++ b/basaltport/query_api/anti_entropy/keep.py
@@ -9,7 +9,7 @@
 import basaltport.log_events as log_events
 import basaltport.member as member
 import basaltport.messages as messages
-import basaltport.query_api.anti_entropy.ranges as ranges
+import basaltport.range_digests as ranges
 
 COPY = 200
 LAPSE = 2000
--- a/basaltport/query_api/cell/cell.py
+++ b/basaltport/query_api/cell/cell.py
@@ -4,7 +4,7 @@
 import dataclasses
 import typing
 
-import basaltport.query_api.anti_entropy.ranges as ranges
+import basaltport.range_digests as ranges
 import basaltport.configuration.rules as rules
 import basaltport.identifiers as identifiers
 import basaltport.member as member
--- a/basaltport/query_api/zone_controller/news.py
+++ b/basaltport/query_api/zone_controller/news.py
@@ -1,7 +1,7 @@
 """News of a cell from its steward to every member: changed rows with digests, ranges on request."""
 
 import basaltport.messages as messages
-import basaltport.query_api.anti_entropy.ranges as ranges
+import basaltport.range_digests as ranges
 
 NEWS = 500
 QUIET = 1500
--- a/basaltport/simulation/world/world.py
+++ b/basaltport/simulation/world/world.py
@@ -6,7 +6,7 @@
 import basaltport.events as events
 import basaltport.frames as frames
 import basaltport.identifiers as identifiers
-import basaltport.consensus.role as ledger
+import basaltport.query_api.log_node as ledger
 import basaltport.member as member
 import basaltport.simulation.standins.backend as backend
 import basaltport.simulation.world.senders as senders
--- a/tests/node.py
+++ b/tests/node.py
@@ -8,7 +8,7 @@
 import basaltport.member as member
 import basaltport.messages as messages
 import basaltport.query_api.query_proxy.role as role
-import basaltport.query_api.anti_entropy.ranges as ranges
+import basaltport.range_digests as ranges
 
 Z = identifiers.Zone("z1")
 FENCE = identifiers.Fence(5)
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -7,7 +7,7 @@
 import basaltport.events as events
 import basaltport.messages as messages
 import basaltport.simulation.world.stage as stage
-import basaltport.query_api.anti_entropy.ranges as ranges
+import basaltport.range_digests as ranges
 import tests.node as node
 
 ROWS = st.dictionaries(st.text("abcdef|", min_size=1, max_size=5), st.integers(0, 3), max_size=30)
