--- a/basaltport/host.py
+++ b/basaltport/host.py
@@ -69,7 +69,7 @@
         seed = random.SystemRandom().getrandbits(64)
         now = identifiers.steady()
         if self.role == "rostrum":
-            self.member = rostrum.Rostrum(self.me, seed, now)
+            self.member = rostrum.QueryNode(self.me, seed, now)
             return None
         self.disk = journal.Disk(self.settings["data"], self.settings["name"])
         got = self.disk.open(member_identity.Identity(self.me.seat))
@@ -78,7 +78,7 @@
             return got.err_value
         recovered = got.ok_value
         self.me.seat = identifiers.MemberId(recovered.identity.seat)
-        self.member = ledger.Ledger(self.me, seed, now, recovered.held, recovered.promised)
+        self.member = ledger.LogNode(self.me, seed, now, recovered.held, recovered.promised)
         if recovered.new_seat:
             logs.note(log_events.Event.SEAT_UNKNOWN, {"folder": self.settings["data"], "seat": self.me.seat})
         g, n = self.member.head()
--- a/basaltport/query_api/log_node.py
+++ b/basaltport/query_api/log_node.py
@@ -13,7 +13,7 @@
 RETRY = 1000
 
 
-class Ledger(
+class LogNode(
     duties.DutyMixin,
     ring.RingMixin,
     cell.CellMixin,
--- a/basaltport/query_api/query_proxy/role.py
+++ b/basaltport/query_api/query_proxy/role.py
@@ -22,7 +22,7 @@
 HINT = 8000
 
 
-class Rostrum(
+class QueryNode(
     interp.InterpMixin,
     claims.ClaimMixin,
     comeback.ComebackMixin,
--- a/basaltport/simulation/world/world.py
+++ b/basaltport/simulation/world/world.py
@@ -142,9 +142,9 @@
         )
         seed = self.rng.getrandbits(64)
         if n.role == "ledger":
-            n.member = ledger.Ledger(me, seed, self.now, held, promised)
+            n.member = ledger.LogNode(me, seed, self.now, held, promised)
         else:
-            n.member = rostrum.Rostrum(me, seed, self.now)
+            n.member = rostrum.QueryNode(me, seed, self.now)
         n.life += 1
         n.frozen = False
         n.stopping = False
--- a/tests/node.py
+++ b/tests/node.py
@@ -46,7 +46,7 @@
     def __init__(self, m=None, **line):
         self.now = 1_000_000
         me = member.Me("house", "r1", "r1-s", "rostrum", "z1", "a:1", "a:2", ["a:9"], 3)
-        self.r = role.Rostrum(me, 1, self.now)
+        self.r = role.QueryNode(me, 1, self.now)
         b = book.new()
         rows = [("r1-s", "rostrum", "a:1"), ("st-s", "rostrum", "b:1"), ("le-s", "ledger", "c:1")]
         b["roster"] = {s: {"name": s[:2], "seat": s, "role": r, "zone": "z1", "addr": a} for s, r, a in rows}
