--- a/basaltport/local_fleet/runner.py
+++ b/basaltport/local_fleet/runner.py
@@ -9,7 +9,7 @@
 import urllib.request
 
 import basaltport.local_fleet.messages as messages
-import basaltport.simulation.drills.fleet as fleet
+import basaltport.simulation.query_api.drills.fleet as fleet
 
 HOUSE = "local"
 ZONES = ("z1", "z2", "z3")
--- a/basaltport/main.py
+++ b/basaltport/main.py
@@ -11,9 +11,9 @@
 import basaltport.model.cli as model
 import basaltport.local_fleet.cli as local_fleet
 import basaltport.simulation.cli as rehearsal
-import basaltport.simulation.drills.drill as drill
-import basaltport.simulation.planner as planner
-import basaltport.simulation.play as play
+import basaltport.simulation.query_api.drills.drill as drill
+import basaltport.simulation.query_api.planner as planner
+import basaltport.simulation.query_api.play as play
 import basaltport.scale.cli as scale
 import basaltport.verbs as verbs
 
--- a/basaltport/query_api/load_generator/cli.py
+++ b/basaltport/query_api/load_generator/cli.py
@@ -15,7 +15,7 @@
 import basaltport.query_api.load_generator.plan as plan
 import basaltport.query_api.load_generator.shoot as shoot
 import basaltport.query_api.load_generator.verdict as verdict
-import basaltport.simulation.world.stage as stage
+import basaltport.simulation.query_api.world.stage as stage
 import basaltport.verbs as verbs
 
 PRESETS = ["furrow", "thin", "tsehay"]
--- a/basaltport/scale/fleet.py
+++ b/basaltport/scale/fleet.py
@@ -3,7 +3,7 @@
 import asyncio
 import json
 
-import basaltport.simulation.drills.fleet as fleet
+import basaltport.simulation.query_api.drills.fleet as fleet
 import basaltport.scale.size as size_
 
 KEEPERS = 3
--- a/basaltport/simulation/cli.py
+++ b/basaltport/simulation/cli.py
@@ -8,11 +8,11 @@
 
 import absl.flags as flags
 
-import basaltport.simulation.drills.fleet as fleet
-import basaltport.simulation.world.presets as presets
+import basaltport.simulation.query_api.drills.fleet as fleet
+import basaltport.simulation.query_api.world.presets as presets
 import basaltport.simulation.routes.play as routeplay
-import basaltport.simulation.world.stage as stage
-import basaltport.simulation.standins.standin as standin
+import basaltport.simulation.query_api.world.stage as stage
+import basaltport.simulation.query_api.standins.standin as standin
 import basaltport.verbs as verbs
 
 
--- a/basaltport/simulation/checks/checks.py
+++ b/basaltport/simulation/query_api/checks/checks.py
@@ -2,7 +2,7 @@
 
 import collections
 
-import basaltport.simulation.world.agreed as agreed
+import basaltport.simulation.query_api.world.agreed as agreed
 
 LEAVING = 3000
 EMPTIED = 5000
--- a/basaltport/simulation/drills/drill.py
+++ b/basaltport/simulation/query_api/drills/drill.py
@@ -14,9 +14,9 @@
 import basaltport.query_api.load_generator.plan as plan
 import basaltport.query_api.load_generator.shoot as shoot
 import basaltport.query_api.load_generator.verdict as verdict
-import basaltport.simulation.drills.fleet as fleet
-import basaltport.simulation.world.presets as presets
-import basaltport.simulation.world.stage as stage
+import basaltport.simulation.query_api.drills.fleet as fleet
+import basaltport.simulation.query_api.world.presets as presets
+import basaltport.simulation.query_api.world.stage as stage
 import basaltport.verbs as verbs
 
 
--- a/basaltport/simulation/drills/fleet.py
+++ b/basaltport/simulation/query_api/drills/fleet.py
@@ -10,7 +10,7 @@
 import time
 import typing
 
-import basaltport.simulation.world.presets as presets
+import basaltport.simulation.query_api.world.presets as presets
 
 IP = "127.0.0.1"
 LOWEST_PORT = 10_000
--- a/basaltport/simulation/drills/notice.py
+++ b/basaltport/simulation/query_api/drills/notice.py
@@ -1,6 +1,6 @@
 """Named scenarios of machines taken one by one, zones lost whole, and one last fault on top."""
 
-import basaltport.simulation.world.acts as acts
+import basaltport.simulation.query_api.world.acts as acts
 
 scenario = acts.scenario
 
--- a/basaltport/simulation/planner.py
+++ b/basaltport/simulation/query_api/planner.py
@@ -9,7 +9,7 @@
 import basaltport.configuration.check as check
 import basaltport.events as events
 import basaltport.identifiers as identifiers
-import basaltport.simulation.world.world as world
+import basaltport.simulation.query_api.world.world as world
 import basaltport.verbs as verbs
 
 SETTLE = 3000
--- a/basaltport/simulation/play.py
+++ b/basaltport/simulation/query_api/play.py
@@ -7,8 +7,8 @@
 import absl.flags as flags
 
 import basaltport.admin.cli as clerk
-import basaltport.simulation.world.presets as presets
-import basaltport.simulation.scenarios.scenarios as scenarios
+import basaltport.simulation.query_api.world.presets as presets
+import basaltport.simulation.query_api.scenarios.scenarios as scenarios
 import basaltport.verbs as verbs
 
 FORMAT = 1
--- a/basaltport/simulation/scenarios/mayhem.py
+++ b/basaltport/simulation/query_api/scenarios/mayhem.py
@@ -2,7 +2,7 @@
 
 import random
 
-import basaltport.simulation.world.acts as acts
+import basaltport.simulation.query_api.world.acts as acts
 
 FAULTS = 12
 
--- a/basaltport/simulation/scenarios/scenarios.py
+++ b/basaltport/simulation/query_api/scenarios/scenarios.py
@@ -1,9 +1,9 @@
 """Named scenarios of the members: kills, freezes, splits, disks, storms."""
 
-import basaltport.simulation.world.acts as acts
-import basaltport.simulation.scenarios.mayhem as mayhem
-import basaltport.simulation.drills.notice as notice
-import basaltport.simulation.scenarios.scenes as scenes
+import basaltport.simulation.query_api.world.acts as acts
+import basaltport.simulation.query_api.scenarios.mayhem as mayhem
+import basaltport.simulation.query_api.drills.notice as notice
+import basaltport.simulation.query_api.scenarios.scenes as scenes
 
 scenario = acts.scenario
 Play = acts.Play
--- a/basaltport/simulation/scenarios/scenes.py
+++ b/basaltport/simulation/query_api/scenarios/scenes.py
@@ -1,7 +1,7 @@
 """Named scenarios of the replicas and zones: crashes, darkness, notice, crowds of cold models."""
 
-import basaltport.simulation.world.acts as acts
-import basaltport.simulation.world.stage as stage
+import basaltport.simulation.query_api.world.acts as acts
+import basaltport.simulation.query_api.world.stage as stage
 
 scenario = acts.scenario
 
--- a/basaltport/simulation/standins/backend.py
+++ b/basaltport/simulation/query_api/standins/backend.py
@@ -2,7 +2,7 @@
 
 import basaltport.replica_client.pieces as pieces
 import basaltport.events as events
-import basaltport.simulation.standins.replica as replica
+import basaltport.simulation.query_api.standins.replica as replica
 import basaltport.sockets as sockets
 
 
--- a/basaltport/simulation/standins/standin.py
+++ b/basaltport/simulation/query_api/standins/standin.py
@@ -11,7 +11,7 @@
 
 import basaltport.replica_client.adapter as adapter
 import basaltport.identifiers as identifiers
-import basaltport.simulation.standins.replica as replica
+import basaltport.simulation.query_api.standins.replica as replica
 
 
 FAULTS = ("dark", "crash", "hold", "cut")
--- a/basaltport/simulation/world/acts.py
+++ b/basaltport/simulation/query_api/world/acts.py
@@ -1,8 +1,8 @@
 """What a scenario is: faults on a ready house under load, and the notes that the checks need."""
 
-import basaltport.simulation.checks.checks as checks
-import basaltport.simulation.world.senders as senders
-import basaltport.simulation.world.stage as stage
+import basaltport.simulation.query_api.checks.checks as checks
+import basaltport.simulation.query_api.world.senders as senders
+import basaltport.simulation.query_api.world.stage as stage
 
 SCENARIOS = {}
 OPENS = 12_000
--- a/basaltport/simulation/world/stage.py
+++ b/basaltport/simulation/query_api/world/stage.py
@@ -4,9 +4,9 @@
 import json
 import pathlib
 
-import basaltport.simulation.world.presets as presets
-import basaltport.simulation.world.senders as senders
-import basaltport.simulation.world.world as world
+import basaltport.simulation.query_api.world.presets as presets
+import basaltport.simulation.query_api.world.senders as senders
+import basaltport.simulation.query_api.world.world as world
 
 EXAMPLES = pathlib.Path(__file__).parent.parent.parent / "examples"
 
--- a/basaltport/simulation/world/world.py
+++ b/basaltport/simulation/query_api/world/world.py
@@ -8,9 +8,9 @@
 import basaltport.identifiers as identifiers
 import basaltport.query_api.log_node as ledger
 import basaltport.member as member
-import basaltport.simulation.standins.backend as backend
-import basaltport.simulation.world.senders as senders
-import basaltport.simulation.world.virtual_disk as simdisk
+import basaltport.simulation.query_api.standins.backend as backend
+import basaltport.simulation.query_api.world.senders as senders
+import basaltport.simulation.virtual_disk as simdisk
 import basaltport.query_api.query_proxy.role as rostrum
 
 TICK = 25
--- a/basaltport/simulation/routes/control_world.py
+++ b/basaltport/simulation/routes/control_world.py
@@ -3,7 +3,7 @@
 import basaltport.events as events
 import basaltport.simulation.routes.control_operator as control_operator
 import basaltport.simulation.routes.slow_links as slow_links
-import basaltport.simulation.world.fleetworld as fleetworld
+import basaltport.simulation.routes.fleet_world as fleetworld
 
 LOOK = 10
 END_AFTER_RELEASE = 100
--- a/basaltport/simulation/routes/nodes.py
+++ b/basaltport/simulation/routes/nodes.py
@@ -11,7 +11,7 @@
 import basaltport.controller.role as role
 import basaltport.identifiers as identifiers
 import basaltport.member as member
-import basaltport.simulation.world.virtual_disk as simdisk
+import basaltport.simulation.virtual_disk as simdisk
 
 TICK = 50
 HELD = 1500
--- a/basaltport/simulation/routes/play.py
+++ b/basaltport/simulation/routes/play.py
@@ -6,7 +6,7 @@
 
 import absl.flags as flags
 
-import basaltport.simulation.world.fleetworld as fleetworld
+import basaltport.simulation.routes.fleet_world as fleetworld
 import basaltport.simulation.routes.control as control
 import basaltport.simulation.routes.mayhem as routemayhem
 import basaltport.simulation.routes.scenes as routescenes
--- a/basaltport/simulation/routes/scenes.py
+++ b/basaltport/simulation/routes/scenes.py
@@ -1,6 +1,6 @@
 """Scenarios on the path of routes: a ready fleet under traffic, a fault, and what must hold all along."""
 
-import basaltport.simulation.world.fleetworld as fleetworld
+import basaltport.simulation.routes.fleet_world as fleetworld
 import basaltport.simulation.routes.checks as routechecks
 
 SCENARIOS = {}
--- a/tests/live.py
+++ b/tests/live.py
@@ -7,10 +7,10 @@
 import re
 
 import basaltport.host as host
-import basaltport.simulation.drills.fleet as fleet
-import basaltport.simulation.world.presets as presets
-import basaltport.simulation.world.stage as stage
-import basaltport.simulation.standins.standin as standin
+import basaltport.simulation.query_api.drills.fleet as fleet
+import basaltport.simulation.query_api.world.presets as presets
+import basaltport.simulation.query_api.world.stage as stage
+import basaltport.simulation.query_api.standins.standin as standin
 import basaltport.settings as settings
 
 BOUND = 30
--- a/tests/test_asks.py
+++ b/tests/test_asks.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-import basaltport.simulation.world.stage as stage
+import basaltport.simulation.query_api.world.stage as stage
 
 
 @pytest.mark.parametrize("seed", range(1, 7))
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -6,7 +6,7 @@
 import basaltport.query_api.failure_detection.ring as ring
 import basaltport.events as events
 import basaltport.messages as messages
-import basaltport.simulation.world.stage as stage
+import basaltport.simulation.query_api.world.stage as stage
 import basaltport.range_digests as ranges
 import tests.node as node
 
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-import basaltport.simulation.world.stage as stage
+import basaltport.simulation.query_api.world.stage as stage
 import tests.live as live
 
 pytestmark = pytest.mark.xdist_group("live")
--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -2,7 +2,7 @@
 
 import basaltport.events as events
 import basaltport.messages as messages
-import basaltport.simulation.world.stage as stage
+import basaltport.simulation.query_api.world.stage as stage
 
 
 def outcomes(w):
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -10,7 +10,7 @@
 import basaltport.consensus.journal as journal
 import basaltport.identifiers as identifiers
 import basaltport.messages as messages
-import basaltport.simulation.world.stage as stage
+import basaltport.simulation.query_api.world.stage as stage
 import basaltport.text as text
 
 DOC = st.recursive(
--- a/tests/test_local_fleet.py
+++ b/tests/test_local_fleet.py
@@ -19,7 +19,7 @@
 import basaltport.local_fleet.stand_ins as stand_ins
 import basaltport.main as main
 import basaltport.placement.effects as effects
-import basaltport.simulation.drills.fleet as fleet
+import basaltport.simulation.query_api.drills.fleet as fleet
 
 ROOT = pathlib.Path(__file__).parent.parent
 EXAMPLE = ROOT / "basaltport" / "examples" / "routes.json"
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -6,7 +6,7 @@
 import hypothesis.stateful as sf
 import hypothesis.strategies as st
 
-import basaltport.simulation.world.stage as stage
+import basaltport.simulation.query_api.world.stage as stage
 import basaltport.query_api.query_proxy.credits as credits
 import basaltport.query_api.query_proxy.lines as lines
 import basaltport.query_api.query_proxy.query as query
--- a/tests/test_mutations.py
+++ b/tests/test_mutations.py
@@ -14,8 +14,8 @@
 import basaltport.consensus.replication as replication
 import basaltport.consensus.timing as timing
 import basaltport.cold_start.routine as routine
-import basaltport.simulation.standins.backend as backend
-import basaltport.simulation.scenarios.scenarios as scenarios
+import basaltport.simulation.query_api.standins.backend as backend
+import basaltport.simulation.query_api.scenarios.scenarios as scenarios
 import basaltport.query_api.query_proxy.claims as claims
 import basaltport.query_api.query_proxy.comeback as comeback
 import basaltport.query_api.query_proxy.dispatch as dispatch
--- a/tests/test_route_scenarios.py
+++ b/tests/test_route_scenarios.py
@@ -12,7 +12,7 @@
 import basaltport.placement.store as store
 import basaltport.simulation.routes.mayhem as routemayhem
 import basaltport.simulation.routes.scenes as routescenes
-import basaltport.simulation.world.virtual_disk as simdisk
+import basaltport.simulation.virtual_disk as simdisk
 import basaltport.proxy.budget as budget
 import basaltport.proxy.decision as decision
 import basaltport.proxy.pick as pick
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -12,7 +12,7 @@
 import basaltport.placement.catalog as catalog
 import basaltport.configuration.routes as routes
 import basaltport.main as main
-import basaltport.simulation.drills.fleet as fleet
+import basaltport.simulation.query_api.drills.fleet as fleet
 import basaltport.scale.cli as cli
 import basaltport.scale.fit as fit
 import basaltport.scale.hollow as hollow
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-import basaltport.simulation.scenarios.scenarios as scenarios
+import basaltport.simulation.query_api.scenarios.scenarios as scenarios
 
 
 RUNS = [(name, 1) for name in sorted(scenarios.SCENARIOS)]
--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -7,8 +7,8 @@
 
 import basaltport.log_events as log_events
 import basaltport.main as main
-import basaltport.simulation.planner as planner
-import basaltport.simulation.world.stage as stage
+import basaltport.simulation.query_api.planner as planner
+import basaltport.simulation.query_api.world.stage as stage
 
 EXAMPLES = pathlib.Path(__file__).parent.parent / "basaltport" / "examples"
 
--- a/tests/test_virtual_disk.py
+++ b/tests/test_virtual_disk.py
@@ -4,7 +4,7 @@
 
 import basaltport.consensus.journal as journal
 import basaltport.identifiers as identifiers
-import basaltport.simulation.world.virtual_disk as virtual_disk
+import basaltport.simulation.virtual_disk as virtual_disk
 import tests.crash_states as crash_states
 
 DRAWS = 400
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -1,6 +1,6 @@
 """Lines while a model loads: bounded, honest at once, one load however many wait, few rounds for a storm."""
 
-import basaltport.simulation.world.stage as stage
+import basaltport.simulation.query_api.world.stage as stage
 import tests.node as node
 
 
--- a/tests/test_wires.py
+++ b/tests/test_wires.py
@@ -12,7 +12,7 @@
 import basaltport.frames as frames
 import basaltport.wires as wires
 import basaltport.sockets as sockets
-import basaltport.simulation.drills.fleet as fleet
+import basaltport.simulation.query_api.drills.fleet as fleet
 import basaltport.messages as messages
 import basaltport.identifiers as identifiers
 import basaltport.logs as logs
