--- a/basaltport/controller/admin.py
+++ b/basaltport/controller/admin.py
@@ -11,7 +11,7 @@
 import basaltport.controller.pages as pages
 import basaltport.controller.view as view
 import basaltport.identifiers as identifiers
-import basaltport.proxy.view as relay_view
+import basaltport.proxy.status_pages as relay_view
 
 
 SHADOWED = ("ssl", "http.client", "urllib.request")
--- a/basaltport/local_fleet/process.py
+++ b/basaltport/local_fleet/process.py
@@ -12,8 +12,8 @@
 import basaltport.local_fleet.messages as messages
 import basaltport.local_fleet.port as port
 import basaltport.local_fleet.stand_ins as stand_ins
-import basaltport.proxy.shell as relay_shell
-import basaltport.proxy.words as words
+import basaltport.proxy.server as relay_shell
+import basaltport.proxy.header_names as words
 
 BAD_INPUT = 2
 FAILED = 1
--- a/basaltport/local_fleet/stand_ins.py
+++ b/basaltport/local_fleet/stand_ins.py
@@ -8,7 +8,7 @@
 
 import basaltport.local_fleet.engine as engine
 import basaltport.local_fleet.messages as messages
-import basaltport.proxy.words as words
+import basaltport.proxy.header_names as words
 
 ORDER_PATH = "/order"
 REPORT_PATH = "/report"
--- a/basaltport/proxy/attempts.py
+++ b/basaltport/proxy/attempt.py
@@ -3,12 +3,12 @@
 import typing
 
 import basaltport.identifiers as identifiers
-import basaltport.proxy.budget as budget
-import basaltport.proxy.decision as decision
+import basaltport.proxy.retry_budget as budget
+import basaltport.proxy.retry_decision as decision
 import basaltport.proxy.events as events
 import basaltport.proxy.health as health
-import basaltport.proxy.needs as needs
-import basaltport.proxy.outcomes as outcomes
+import basaltport.proxy.interfaces as needs
+import basaltport.proxy.attempt_outcome as outcomes
 import basaltport.proxy.request as request
 
 Outcome = outcomes.Outcome
--- a/basaltport/proxy/clients.py
+++ b/basaltport/proxy/client_connections.py
@@ -8,7 +8,7 @@
 
 import aiohttp.web
 
-import basaltport.proxy.connections as connections
+import basaltport.proxy.upstream_pool as connections
 
 Connection = aiohttp.web.RequestHandler
 
--- a/basaltport/proxy/events.py
+++ b/basaltport/proxy/events.py
@@ -3,7 +3,7 @@
 import dataclasses
 
 import basaltport.identifiers as identifiers
-import basaltport.proxy.outcomes as outcomes
+import basaltport.proxy.attempt_outcome as outcomes
 
 
 @dataclasses.dataclass(slots=True)
--- a/basaltport/proxy/health.py
+++ b/basaltport/proxy/health.py
@@ -1,7 +1,7 @@
 """What this node's own attempts tell of a replica."""
 
 import basaltport.identifiers as identifiers
-import basaltport.proxy.budget as budget
+import basaltport.proxy.retry_budget as budget
 
 FIRST_MS = 250
 LONGEST_MS = 4000
--- a/basaltport/proxy/needs.py
+++ b/basaltport/proxy/interfaces.py
@@ -6,10 +6,10 @@
 
 import basaltport.identifiers as identifiers
 import basaltport.member as member
-import basaltport.proxy.budget as budget
+import basaltport.proxy.retry_budget as budget
 import basaltport.proxy.health as replica_health
 import basaltport.proxy.request as request
-import basaltport.proxy.table as table
+import basaltport.proxy.routing as table
 
 Row = dict[str, typing.Any]
 
--- a/basaltport/proxy/pick.py
+++ b/basaltport/proxy/load_balancing.py
@@ -5,9 +5,9 @@
 
 import basaltport.query_api.failure_detection.duties as duties
 import basaltport.identifiers as identifiers
-import basaltport.proxy.budget as budget
+import basaltport.proxy.retry_budget as budget
 import basaltport.proxy.health as health
-import basaltport.proxy.needs as needs
+import basaltport.proxy.interfaces as needs
 import basaltport.proxy.request as request
 
 FAR = 0.3
--- a/basaltport/proxy/readiness.py
+++ b/basaltport/proxy/model_readiness.py
@@ -5,7 +5,7 @@
 
 import basaltport.identifiers as identifiers
 import basaltport.cold_start.limits as limits
-import basaltport.proxy.needs as needs
+import basaltport.proxy.interfaces as needs
 import basaltport.proxy.request as request
 
 AGAIN = 250
--- a/basaltport/proxy/role.py
+++ b/basaltport/proxy/node.py
@@ -8,14 +8,14 @@
 import basaltport.fleet.follow as follow
 import basaltport.identifiers as identifiers
 import basaltport.member as member
-import basaltport.proxy.attempts as attempts
-import basaltport.proxy.decision as decision
+import basaltport.proxy.attempt as attempts
+import basaltport.proxy.retry_decision as decision
 import basaltport.proxy.events as events
-import basaltport.proxy.needs as needs
-import basaltport.proxy.pick as pick
-import basaltport.proxy.readiness as readiness
+import basaltport.proxy.interfaces as needs
+import basaltport.proxy.load_balancing as pick
+import basaltport.proxy.model_readiness as readiness
 import basaltport.proxy.request as request
-import basaltport.proxy.table as table
+import basaltport.proxy.routing as table
 
 TIMINGS = {
     "retry_ratio": 0.2,
--- a/basaltport/proxy/request.py
+++ b/basaltport/proxy/request.py
@@ -4,7 +4,7 @@
 
 import basaltport.identifiers as identifiers
 import basaltport.proxy.events as events
-import basaltport.proxy.table as table
+import basaltport.proxy.routing as table
 
 
 class Aborted(enum.Enum):
--- a/basaltport/proxy/intake.py
+++ b/basaltport/proxy/request_body.py
@@ -5,7 +5,7 @@
 
 import aiohttp.web
 
-import basaltport.proxy.memory as memory
+import basaltport.proxy.memory_limit as memory
 
 LONGEST_MS = 60_000
 """How long a body may take whose client states no deadline."""
--- a/basaltport/proxy/answer.py
+++ b/basaltport/proxy/response.py
@@ -8,11 +8,11 @@
 import aiohttp.web
 import multidict
 
-import basaltport.proxy.memory as memory
-import basaltport.proxy.pieces as pieces
-import basaltport.proxy.table as table
+import basaltport.proxy.memory_limit as memory
+import basaltport.proxy.response_stream as pieces
+import basaltport.proxy.routing as table
 import basaltport.proxy.upstream as upstream
-import basaltport.proxy.words as words
+import basaltport.proxy.header_names as words
 
 MS = 1000
 LEAST_RETRY_S = 0.01
--- a/basaltport/proxy/decision.py
+++ b/basaltport/proxy/retry_decision.py
@@ -3,7 +3,7 @@
 import dataclasses
 import enum
 
-import basaltport.proxy.outcomes as outcomes
+import basaltport.proxy.attempt_outcome as outcomes
 
 Outcome = outcomes.Outcome
 SERVER_ERROR = 500
--- a/basaltport/proxy/table.py
+++ b/basaltport/proxy/routing.py
@@ -7,7 +7,7 @@
 import typing
 
 import basaltport.identifiers as identifiers
-import basaltport.proxy.decision as decision
+import basaltport.proxy.retry_decision as decision
 
 
 Document = collections.abc.Mapping[str, typing.Any]
--- a/basaltport/proxy/shell.py
+++ b/basaltport/proxy/server.py
@@ -19,16 +19,16 @@
 import basaltport.identifiers as identifiers
 import basaltport.logs as logs
 import basaltport.member as member
-import basaltport.proxy.answer as answer
-import basaltport.proxy.clients as clients
-import basaltport.proxy.delivery as delivery
+import basaltport.proxy.response as answer
+import basaltport.proxy.client_connections as clients
+import basaltport.proxy.response_delivery as delivery
 import basaltport.proxy.events as events
-import basaltport.proxy.intake as intake
-import basaltport.proxy.memory as memory
-import basaltport.proxy.outcomes as outcomes
-import basaltport.proxy.role as role
+import basaltport.proxy.request_body as intake
+import basaltport.proxy.memory_limit as memory
+import basaltport.proxy.attempt_outcome as outcomes
+import basaltport.proxy.node as role
 import basaltport.proxy.upstream as upstream
-import basaltport.proxy.words as words
+import basaltport.proxy.header_names as words
 import basaltport.wires as wires
 
 TICK_S = 0.05
--- a/basaltport/proxy/view.py
+++ b/basaltport/proxy/status_pages.py
@@ -12,10 +12,10 @@
 import basaltport.identifiers as identifiers
 import basaltport.proxy.events as events
 import basaltport.proxy.health as health
-import basaltport.proxy.needs as needs
+import basaltport.proxy.interfaces as needs
 import basaltport.proxy.request as request
-import basaltport.proxy.role as role
-import basaltport.proxy.table as table
+import basaltport.proxy.node as role
+import basaltport.proxy.routing as table
 
 Doc = dict[str, typing.Any]
 Sample = tuple[str, str, str, tuple[str, ...], collections.abc.Sequence[tuple[tuple[str, ...], float]]]
--- a/basaltport/proxy/upstream.py
+++ b/basaltport/proxy/upstream.py
@@ -8,12 +8,12 @@
 import multidict
 import yarl
 
-import basaltport.proxy.connections as connections
-import basaltport.proxy.decision as decision
+import basaltport.proxy.upstream_pool as connections
+import basaltport.proxy.retry_decision as decision
 import basaltport.proxy.events as events
-import basaltport.proxy.memory as memory
-import basaltport.proxy.outcomes as outcomes
-import basaltport.proxy.words as words
+import basaltport.proxy.memory_limit as memory
+import basaltport.proxy.attempt_outcome as outcomes
+import basaltport.proxy.header_names as words
 import basaltport.replica_client.adapter as adapter
 
 Outcome = outcomes.Outcome
--- a/basaltport/query_api/query_proxy/role.py
+++ b/basaltport/query_api/query_proxy/role.py
@@ -7,7 +7,7 @@
 import basaltport.consensus.voting_policy as voting_policy
 import basaltport.log_events as log_events
 import basaltport.messages as messages
-import basaltport.cold_start.routine as routine
+import basaltport.query_api.query_proxy.model_readiness as routine
 import basaltport.query_api.query_proxy.claims as claims
 import basaltport.query_api.query_proxy.comeback as comeback
 import basaltport.query_api.query_proxy.dispatch as dispatch
--- a/basaltport/scale/part.py
+++ b/basaltport/scale/part.py
@@ -9,8 +9,8 @@
 
 import basaltport.controller.shell as keeper
 import basaltport.identifiers as identifiers
-import basaltport.proxy.shell as relay
-import basaltport.proxy.words as words
+import basaltport.proxy.server as relay
+import basaltport.proxy.header_names as words
 import basaltport.scale.count as count
 import basaltport.scale.hollow as hollow
 import basaltport.scale.size as size_
--- a/basaltport/simulation/routes/attempts.py
+++ b/basaltport/simulation/routes/attempts.py
@@ -1,7 +1,7 @@
 """Attempts of proxies at replicas: what is sent, what is passed on, what is proven when one is lost."""
 
 import basaltport.proxy.events as relay_events
-import basaltport.proxy.outcomes as outcomes
+import basaltport.proxy.attempt_outcome as outcomes
 
 Outcome = outcomes.Outcome
 CONNECT = 400
--- a/basaltport/simulation/routes/fleet_world.py
+++ b/basaltport/simulation/routes/fleet_world.py
@@ -8,7 +8,7 @@
 import basaltport.simulation.routes.nodes as routenodes
 import basaltport.simulation.routes.operator as routeoperator
 import basaltport.simulation.routes.replicas as routereplicas
-import basaltport.proxy.role as relay
+import basaltport.proxy.node as relay
 
 LOOK = 50
 TIMINGS = {
--- a/tests/fleet_stand.py
+++ b/tests/fleet_stand.py
@@ -11,7 +11,7 @@
 import basaltport.identifiers as identifiers
 import basaltport.member as member
 import basaltport.placement.machine as machine
-import basaltport.proxy.role as role
+import basaltport.proxy.node as role
 import tests.keepers as keepers
 import tests.live as live
 import tests.relay_stand as stand
--- a/tests/relay_stand.py
+++ b/tests/relay_stand.py
@@ -3,8 +3,8 @@
 import asyncio
 
 import basaltport.identifiers as identifiers
-import basaltport.proxy.shell as shell
-import basaltport.proxy.words as words
+import basaltport.proxy.server as shell
+import basaltport.proxy.header_names as words
 
 W = words.Words()
 BOUND = 20
--- a/tests/request_world.py
+++ b/tests/request_world.py
@@ -7,10 +7,10 @@
 import basaltport.events as base
 import basaltport.identifiers as identifiers
 import basaltport.member as member
-import basaltport.proxy.decision as decision
+import basaltport.proxy.retry_decision as decision
 import basaltport.proxy.events as events
-import basaltport.proxy.outcomes as outcomes
-import basaltport.proxy.role as role
+import basaltport.proxy.attempt_outcome as outcomes
+import basaltport.proxy.node as role
 import tests.relay_stand as stand
 
 Outcome = outcomes.Outcome
--- a/tests/test_decision.py
+++ b/tests/test_decision.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-import basaltport.proxy.decision as decision
-import basaltport.proxy.outcomes as outcomes
+import basaltport.proxy.retry_decision as decision
+import basaltport.proxy.attempt_outcome as outcomes
 
 Known, Move, Outcome, Repeats = decision.Known, decision.Move, outcomes.Outcome, decision.Repeats
 STATUSES = (0, 200, 404, 408, 421, 429, 500, 503, 504)
--- a/tests/test_fleet_cli.py
+++ b/tests/test_fleet_cli.py
@@ -19,7 +19,7 @@
 import basaltport.identifiers as identifiers
 import basaltport.main as main
 import basaltport.proxy.events as events
-import basaltport.proxy.view as relay_view
+import basaltport.proxy.status_pages as relay_view
 import tests.fleet_stand as fleet_stand
 import tests.live as live
 import tests.relay_stand as stand
--- a/tests/test_mutations.py
+++ b/tests/test_mutations.py
@@ -13,7 +13,7 @@
 import basaltport.consensus.read_index as read_index
 import basaltport.consensus.replication as replication
 import basaltport.consensus.timing as timing
-import basaltport.cold_start.routine as routine
+import basaltport.query_api.query_proxy.model_readiness as routine
 import basaltport.simulation.query_api.standins.backend as backend
 import basaltport.simulation.query_api.scenarios.scenarios as scenarios
 import basaltport.query_api.query_proxy.claims as claims
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -5,12 +5,12 @@
 import basaltport.events as base
 import basaltport.identifiers as identifiers
 import basaltport.member as member
-import basaltport.proxy.budget as budget
+import basaltport.proxy.retry_budget as budget
 import basaltport.proxy.events as events
-import basaltport.proxy.outcomes as outcomes
-import basaltport.proxy.pieces as pieces
-import basaltport.proxy.role as role
-import basaltport.proxy.table as table
+import basaltport.proxy.attempt_outcome as outcomes
+import basaltport.proxy.response_stream as pieces
+import basaltport.proxy.node as role
+import basaltport.proxy.routing as table
 import tests.relay_stand as stand
 
 
--- a/tests/test_relay_connections.py
+++ b/tests/test_relay_connections.py
@@ -6,8 +6,8 @@
 import pytest
 
 import basaltport.proxy.events as events
-import basaltport.proxy.memory as memory
-import basaltport.proxy.outcomes as outcomes
+import basaltport.proxy.memory_limit as memory
+import basaltport.proxy.attempt_outcome as outcomes
 import basaltport.proxy.upstream as upstream
 import tests.relay_stand as stand
 
--- a/tests/test_relay_faults.py
+++ b/tests/test_relay_faults.py
@@ -6,7 +6,7 @@
 import pytest
 
 import basaltport.identifiers as identifiers
-import basaltport.proxy.answer as answer
+import basaltport.proxy.response as answer
 import basaltport.proxy.events as events
 import tests.relay_stand as stand
 import tests.test_relay_wire as wire
--- a/tests/test_relay_memory.py
+++ b/tests/test_relay_memory.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-import basaltport.proxy.memory as memory
+import basaltport.proxy.memory_limit as memory
 
 
 def test_a_claim_takes_no_more_than_there_is_and_gives_all_back():
--- a/tests/test_relay_sequences.py
+++ b/tests/test_relay_sequences.py
@@ -3,9 +3,9 @@
 
 import pytest
 
-import basaltport.proxy.decision as decision
+import basaltport.proxy.retry_decision as decision
 import basaltport.proxy.events as events
-import basaltport.proxy.outcomes as outcomes
+import basaltport.proxy.attempt_outcome as outcomes
 import basaltport.proxy.request as request
 import tests.test_relay as relay_tests
 
--- a/tests/test_request_bytes_machine.py
+++ b/tests/test_request_bytes_machine.py
@@ -5,10 +5,10 @@
 import hypothesis.strategies as strategies
 import pytest
 
-import basaltport.proxy.budget as budget
-import basaltport.proxy.decision as decision
+import basaltport.proxy.retry_budget as budget
+import basaltport.proxy.retry_decision as decision
 import basaltport.proxy.request as request
-import basaltport.proxy.role as role
+import basaltport.proxy.node as role
 import tests.request_world as request_world
 
 Happening = request_world.Happening
--- a/tests/test_request_bytes_mutations.py
+++ b/tests/test_request_bytes_mutations.py
@@ -6,11 +6,11 @@
 import aiohttp
 import pytest
 
-import basaltport.proxy.answer as answer
-import basaltport.proxy.budget as budget
-import basaltport.proxy.connections as connections
-import basaltport.proxy.decision as decision
-import basaltport.proxy.outcomes as outcomes
+import basaltport.proxy.response as answer
+import basaltport.proxy.retry_budget as budget
+import basaltport.proxy.upstream_pool as connections
+import basaltport.proxy.retry_decision as decision
+import basaltport.proxy.attempt_outcome as outcomes
 import basaltport.proxy.request as request
 import basaltport.proxy.upstream as upstream
 import tests.request_cases as request_cases
--- a/tests/test_route_scenarios.py
+++ b/tests/test_route_scenarios.py
@@ -13,11 +13,11 @@
 import basaltport.simulation.routes.mayhem as routemayhem
 import basaltport.simulation.routes.scenes as routescenes
 import basaltport.simulation.virtual_disk as simdisk
-import basaltport.proxy.budget as budget
-import basaltport.proxy.decision as decision
-import basaltport.proxy.pick as pick
-import basaltport.proxy.role as relay
-import basaltport.proxy.table as table
+import basaltport.proxy.retry_budget as budget
+import basaltport.proxy.retry_decision as decision
+import basaltport.proxy.load_balancing as pick
+import basaltport.proxy.node as relay
+import basaltport.proxy.routing as table
 
 SEEDS = {"mayhem": 3, "leader-disk-stalled": 2, "evacuation-while-a-keeper-dies": 2}
 RUNS = [(name, SEEDS.get(name, 1)) for name in routescenes.SCENARIOS] + [("mayhem", 2)]
