--- a/basaltport/controller/admin.py
+++ b/basaltport/controller/admin.py
@@ -11,7 +11,7 @@
 import basaltport.controller.pages as pages
 import basaltport.controller.view as view
 import basaltport.identifiers as identifiers
-import basaltport.proxy.status_pages as relay_view
+import basaltport.proxy.status_pages as proxy_status
 
 
 SHADOWED = ("ssl", "http.client", "urllib.request")
@@ -140,7 +140,7 @@
         except ValueError:
             return 400, {"error": "deadline_ms and tokens are whole numbers"}, None
         args = query["host"], query["path"], query.get("item", ""), deadline, tokens
-        return 200, relay_view.explain(shell.member, now(), *args), None
+        return 200, proxy_status.explain(shell.member, now(), *args), None
 
-    all_ = {"status": lambda query: (200, relay_view.status(shell.member, now()), None), "explain": explain}
-    return Admin(all_, lambda: relay_view.samples(shell.member, now()))
+    all_ = {"status": lambda query: (200, proxy_status.status(shell.member, now()), None), "explain": explain}
+    return Admin(all_, lambda: proxy_status.samples(shell.member, now()))
--- a/basaltport/local_fleet/process.py
+++ b/basaltport/local_fleet/process.py
@@ -12,7 +12,7 @@
 import basaltport.local_fleet.messages as messages
 import basaltport.local_fleet.port as port
 import basaltport.local_fleet.stand_ins as stand_ins
-import basaltport.proxy.server as relay_shell
+import basaltport.proxy.server as proxy_server
 import basaltport.proxy.header_names as words
 
 BAD_INPUT = 2
@@ -27,7 +27,7 @@
 
 async def run_proxy(settings: dict[str, typing.Any]) -> None:
     """Serve as a proxy until a signal ends the process."""
-    await relay_shell.RelayShell(settings, words.Words()).run()
+    await proxy_server.ProxyServer(settings, words.Words()).run()
 
 
 async def run_stand_ins(settings: dict[str, typing.Any]) -> None:
--- a/basaltport/proxy/attempt.py
+++ b/basaltport/proxy/attempt.py
@@ -39,7 +39,7 @@
 }
 
 if typing.TYPE_CHECKING:
-    Needs = needs.RelayNeeds
+    Needs = needs.NodeInterface
 else:
     Needs = object
 
--- a/basaltport/proxy/interfaces.py
+++ b/basaltport/proxy/interfaces.py
@@ -14,7 +14,7 @@
 Row = dict[str, typing.Any]
 
 
-class RelayNeeds(typing.Protocol):
+class NodeInterface(typing.Protocol):
     """The reducer as its mixins see it: state, hooks and effects."""
 
     now: identifiers.Millis
--- a/basaltport/proxy/load_balancing.py
+++ b/basaltport/proxy/load_balancing.py
@@ -27,7 +27,7 @@
 Row = needs.Row
 
 if typing.TYPE_CHECKING:
-    Needs = needs.RelayNeeds
+    Needs = needs.NodeInterface
 else:
     Needs = object
 
--- a/basaltport/proxy/model_readiness.py
+++ b/basaltport/proxy/model_readiness.py
@@ -15,7 +15,7 @@
 LONG_AGO = identifiers.Millis(-(10**9))
 
 if typing.TYPE_CHECKING:
-    Needs = needs.RelayNeeds
+    Needs = needs.NodeInterface
 else:
     Needs = object
 
--- a/basaltport/proxy/node.py
+++ b/basaltport/proxy/node.py
@@ -54,7 +54,7 @@
     arrived: events.Arrived
 
 
-class Relay(
+class ProxyNode(
     readiness.ReadinessMixin,
     attempts.AttemptMixin,
     pick.PickMixin,
--- a/basaltport/proxy/server.py
+++ b/basaltport/proxy/server.py
@@ -60,7 +60,7 @@
     return min(int(raw), top)
 
 
-class RelayShell:
+class ProxyServer:
     """A proxy as a process: what its reducer decides is done on sockets."""
 
     end: asyncio.Event
@@ -82,7 +82,7 @@
         seed = random.SystemRandom().getrandbits(64)
         zones = len(settings.get("zones") or ()) or 1
         me = identity(settings)
-        self.member = role.Relay(me, seed, identifiers.steady(), settings.get("timings"), zones)
+        self.member = role.ProxyNode(me, seed, identifiers.steady(), settings.get("timings"), zones)
         self.pages = pages.Pages(self, "proxy")
         self.upstream = upstream.Upstream(header_names)
         self.bodies = memory.room_of(settings)
--- a/basaltport/proxy/status_pages.py
+++ b/basaltport/proxy/status_pages.py
@@ -24,7 +24,7 @@
 SCORE_DIGITS = 3
 
 
-def queue(relay: role.Relay, now: identifiers.Millis) -> list[Doc]:
+def queue(relay: role.ProxyNode, now: identifiers.Millis) -> list[Doc]:
     """Waiting requests by service and item, the longest wait first."""
     waits: dict[tuple[str, str], list[int]] = {}
     for waiting in relay.waiting.values():
@@ -36,7 +36,7 @@
     return sorted(rows, key=lambda row: -row["oldest_ms"])
 
 
-def retries(relay: role.Relay, now: identifiers.Millis) -> dict[str, dict[str, int]]:
+def retries(relay: role.ProxyNode, now: identifiers.Millis) -> dict[str, dict[str, int]]:
     """By service: further attempts in the window, and how many more there may be."""
     out = {}
     for service, window in relay.retries.items():
@@ -45,7 +45,7 @@
     return out
 
 
-def replica(relay: role.Relay, now: identifiers.Millis, replica_id: str) -> Doc:
+def replica(relay: role.ProxyNode, now: identifiers.Millis, replica_id: str) -> Doc:
     """A replica as this proxy sees it."""
     row, known = relay.rows[replica_id], relay.health.get(replica_id)
     doc = {"id": replica_id, "service": row["service"], "zone": row["zone"], "state": row["state"]}
@@ -57,7 +57,7 @@
     return {**doc, "state": "moved"} if known.dead else doc
 
 
-def status(relay: role.Relay, now: identifiers.Millis) -> Doc:
+def status(relay: role.ProxyNode, now: identifiers.Millis) -> Doc:
     """The page of a proxy."""
     me, heard = relay.me, relay.led_at > 0
     return {
@@ -85,7 +85,7 @@
 # what would become of a request
 
 
-def apart(relay: role.Relay, now: identifiers.Millis) -> role.Relay:
+def apart(relay: role.ProxyNode, now: identifiers.Millis) -> role.ProxyNode:
     """A copy whose steps leave the original, its counts and its chance as they are."""
     out = copy.copy(relay)
     out.now, out.rng, out.out = now, random.Random(0), []
@@ -105,7 +105,7 @@
 
 
 def explain(
-    relay: role.Relay,
+    relay: role.ProxyNode,
     now: identifiers.Millis,
     host: str,
     path: str,
@@ -142,7 +142,9 @@
         before = total
 
 
-def outcome(relay: role.Relay, route: table.Route, arrived: events.Arrived, service: str, part: float) -> Doc:
+def outcome(
+    relay: role.ProxyNode, route: table.Route, arrived: events.Arrived, service: str, part: float
+) -> Doc:
     """What would become of a request that goes to a service. `relay` is a copy that may be changed."""
     asked = request.Request(0, route, arrived)
     asked.service = service
@@ -164,7 +166,7 @@
     return {**doc, "fact": fact.state if fact else "", "expected_ms": expected_ms}
 
 
-def admit(relay: role.Relay, asked: request.Request, arrived: events.Arrived) -> role.Refusal | None:
+def admit(relay: role.ProxyNode, asked: request.Request, arrived: events.Arrived) -> role.Refusal | None:
     """The program of its route, with the service that is given."""
     for step in asked.route.program:
         if step == "share":
@@ -175,7 +177,7 @@
     return None
 
 
-def candidates(relay: role.Relay, asked: request.Request) -> list[Doc]:
+def candidates(relay: role.ProxyNode, asked: request.Request) -> list[Doc]:
     """The replicas of a request's service, the best first, and why each may not be used."""
     out = []
     for replica_id, row in sorted(relay.rows.items()):
@@ -187,7 +189,7 @@
     return sorted(out, key=lambda c: (c["score"] is None, c["score"] or 0, c["verdict"], c["replica"]))
 
 
-def verdict(relay: role.Relay, asked: request.Request, replica_id: str, row: needs.Row) -> str:
+def verdict(relay: role.ProxyNode, asked: request.Request, replica_id: str, row: needs.Row) -> str:
     """Whether a request may go to a replica now, or why not."""
     if replica_id not in relay.holders(asked.service, asked.item):
         return "loads it" if asked.item in row.get("loading", ()) else "does not hold it"
@@ -198,7 +200,7 @@
     return verdict_of_health(relay, asked, replica_id, row)
 
 
-def verdict_of_health(relay: role.Relay, asked: request.Request, replica_id: str, row: needs.Row) -> str:
+def verdict_of_health(relay: role.ProxyNode, asked: request.Request, replica_id: str, row: needs.Row) -> str:
     """The same for a replica that is open by the feed."""
     now, known = relay.now, relay.health_of(replica_id)
     if known.dead:
@@ -222,7 +224,7 @@
     return f"basaltport_{name}", "gauge", text, (), [((), value)]
 
 
-def samples(relay: role.Relay, now: identifiers.Millis) -> collections.abc.Iterator[Sample]:
+def samples(relay: role.ProxyNode, now: identifiers.Millis) -> collections.abc.Iterator[Sample]:
     """As of keeper.view."""
     yield gauge("ready", "1 where this proxy takes clients", int(relay.ready()))
     yield gauge("led", "1 where a leader is heard", int(follow.FollowMixin.led(relay)))
--- a/basaltport/scale/part.py
+++ b/basaltport/scale/part.py
@@ -124,7 +124,7 @@
 class ProxyPart(Followers):
     def __init__(self, conf):
         self.mark = hollow.Marks()
-        self.shell = relay.RelayShell(conf["settings"], words.Words())
+        self.shell = relay.ProxyServer(conf["settings"], words.Words())
         step = self.shell.wires.heard
 
         def heard(src, msg):
--- a/basaltport/simulation/routes/attempts.py
+++ b/basaltport/simulation/routes/attempts.py
@@ -1,6 +1,6 @@
 """Attempts of proxies at replicas: what is sent, what is passed on, what is proven when one is lost."""
 
-import basaltport.proxy.events as relay_events
+import basaltport.proxy.events as proxy_events
 import basaltport.proxy.attempt_outcome as outcomes
 
 Outcome = outcomes.Outcome
@@ -149,12 +149,12 @@
         go.begun = True
         if not go.t.over and go.t.op.kind in ("stream", "resume"):
             go.t.pieces = max(go.t.pieces, part)
-        self.give(go.n, go.life, relay_events.Progress(self.now, go.e.attempt))
+        self.give(go.n, go.life, proxy_events.Progress(self.now, go.e.attempt))
         if last and not go.over:
             go.over, go.ended = True, self.now
             self.client_done(go.t)
             result = outcomes.Result(Outcome.DONE, 200)
-            self.give(go.n, go.life, relay_events.Ended(self.now, go.e.attempt, result))
+            self.give(go.n, go.life, proxy_events.Ended(self.now, go.e.attempt, result))
 
     def tell(self, go, outcome, status):
         self.later(self.rng.randrange(1, 6), self.over, go, outcome, status)
@@ -166,7 +166,7 @@
         go.over, go.ended = True, self.now
         if go.on is not None:
             self.later(1, self.free, go, go.on)
-        ev = relay_events.Ended(self.now, go.e.attempt, outcomes.Result(outcome, status, detail, resumes))
+        ev = proxy_events.Ended(self.now, go.e.attempt, outcomes.Result(outcome, status, detail, resumes))
         self.give(go.n, go.life, ev)
 
     def lose(self, go, why, late=False):
--- a/basaltport/simulation/routes/clients.py
+++ b/basaltport/simulation/routes/clients.py
@@ -1,7 +1,7 @@
 """Clients: they choose a node that is ready, keep to what they are told, and come back as the rules allow."""
 
 import basaltport.identifiers as identifiers
-import basaltport.proxy.events as relay_events
+import basaltport.proxy.events as proxy_events
 
 TRIES = 5
 UNREAD = 1000
@@ -97,7 +97,7 @@
         t.request = self.request_n
         self.tries[n.name, n.life, t.request] = t
         host, path = "desk.example", f"/{o.kind}/1"
-        ev = relay_events.Arrived(self.now, t.request, host, path, identifiers.Item(o.item), int(left), 100)
+        ev = proxy_events.Arrived(self.now, t.request, host, path, identifiers.Item(o.item), int(left), 100)
         self.later(self.rng.randrange(1, 5), self.read, n, t, ev)
         self.later(left, self.end_try, t, "gone", 0, 0)
         if o.kind in ("safe", "plain", "resume"):
@@ -126,7 +126,7 @@
             running=running, touch=t.node.name in self.touching, left=int(o.until - self.now),
         )  # fmt: skip
         if outcome in ("gone", "unread"):
-            self.give(t.node, t.life, relay_events.Left(self.now, t.request))
+            self.give(t.node, t.life, proxy_events.Left(self.now, t.request))
         o.pieces = max(o.pieces, t.pieces) if o.kind == "resume" else 0
         if outcome == "done" or status in FINAL or outcome == "gone":
             self.finish_op(o, outcome if outcome != "own" else str(status))
--- a/basaltport/simulation/routes/fleet_world.py
+++ b/basaltport/simulation/routes/fleet_world.py
@@ -98,7 +98,7 @@
         return machine.Placement(random.Random(self.rng.getrandbits(32)))
 
     def proxy_of(self, me, seed):
-        return relay.Relay(me, seed, self.now, self.timings, len(self.zones))
+        return relay.ProxyNode(me, seed, self.now, self.timings, len(self.zones))
 
     def proxies(self):
         return [n for n in self.nodes.values() if n.name[0] == "p"]
--- a/tests/fleet_stand.py
+++ b/tests/fleet_stand.py
@@ -14,7 +14,7 @@
 import basaltport.proxy.node as role
 import tests.keepers as keepers
 import tests.live as live
-import tests.relay_stand as stand
+import tests.proxy_stand as stand
 
 
 def row(id, zone, models, **more):
@@ -146,7 +146,7 @@
     """A proxy that knows four replicas of birch, each in another trouble, and one that is well."""
     me = member.Me("h", "p1", "p1-1", "proxy", "z1", "127.0.0.1:1", "", [], 0)
     now = identifiers.Millis(100_000)
-    m = role.Relay(me, 1, now, {"retry_slack": 100}, 2)
+    m = role.ProxyNode(me, 1, now, {"retry_slack": 100}, 2)
     birch = {"birch": ["a1"]}
     rows = [row(f"r{k}", "z1", birch) for k in range(1, 7)]
     rows += [row("r7", "z2", {}, loading=["birch"]), row("r8", "z2", birch, state="draining")]
--- a/tests/relay_stand.py
+++ b/tests/relay_stand.py
@@ -154,7 +154,7 @@
             "timings": self.timings,
             **self.settings,
         }
-        self.shell = shell.RelayShell(s, W)
+        self.shell = shell.ProxyServer(s, W)
         self.task = asyncio.get_running_loop().create_task(self.shell.run())
         async with asyncio.timeout(BOUND):
             while not hasattr(self.shell, "prober"):
--- a/tests/request_cases.py
+++ b/tests/request_cases.py
@@ -7,7 +7,7 @@
 import socket
 
 import tests.jumping_loop as jumping_loop
-import tests.relay_stand as stand
+import tests.proxy_stand as stand
 import tests.request_stand as request_stand
 
 W = stand.W
--- a/tests/request_world.py
+++ b/tests/request_world.py
@@ -11,7 +11,7 @@
 import basaltport.proxy.events as events
 import basaltport.proxy.attempt_outcome as outcomes
 import basaltport.proxy.node as role
-import tests.relay_stand as stand
+import tests.proxy_stand as stand
 
 Outcome = outcomes.Outcome
 START_MS = 1_000_000
@@ -93,10 +93,10 @@
             self.broken = True
             raise Broken(f"{rule}: {detail}")
 
-    def proxy(self) -> role.Relay:
+    def proxy(self) -> role.ProxyNode:
         self.lives += 1
         me = member.Me("h", f"p{self.lives}", f"p{self.lives}-s", "proxy", "z0", "127.0.0.1:1", "", [], 0)
-        relay = role.Relay(me, self.lives, identifiers.Millis(self.now_ms), TIMINGS, 2)
+        relay = role.ProxyNode(me, self.lives, identifiers.Millis(self.now_ms), TIMINGS, 2)
         relay.want = lambda items: None
         relay.out = []
         stand.fill(relay, self.rows(), self.document)
--- a/tests/slow_stand.py
+++ b/tests/slow_stand.py
@@ -9,7 +9,7 @@
 import typing
 
 import tests.jumping_loop as jumping_loop
-import tests.relay_stand as stand
+import tests.proxy_stand as stand
 
 W = stand.W
 MIB = 1 << 20
--- a/tests/test_fleet_cli.py
+++ b/tests/test_fleet_cli.py
@@ -19,10 +19,10 @@
 import basaltport.identifiers as identifiers
 import basaltport.main as main
 import basaltport.proxy.events as events
-import basaltport.proxy.status_pages as relay_view
+import basaltport.proxy.status_pages as proxy_status
 import tests.fleet_stand as fleet_stand
 import tests.live as live
-import tests.relay_stand as stand
+import tests.proxy_stand as stand
 
 ROOT = pathlib.Path(__file__).parent.parent
 sys.path.append(str(ROOT / "platform"))
@@ -171,9 +171,9 @@
     m, now = fleet_stand.relay()
     was = copy.deepcopy({k: v for k, v in vars(m).items() if k not in ("rng", "table")})
     chance = m.rng.getstate()
-    got = relay_view.explain(m, now, "desk.example", "/safe/x", "birch")
-    relay_view.status(m, now)
-    list(relay_view.samples(m, now))
+    got = proxy_status.explain(m, now, "desk.example", "/safe/x", "birch")
+    proxy_status.status(m, now)
+    list(proxy_status.samples(m, now))
     assert m.rng.getstate() == chance
     assert pickle.dumps(was) == pickle.dumps({k: vars(m)[k] for k in was})
     ev = events.Arrived(now, 1, "desk.example", "/safe/x", identifiers.Item("birch"), -1, 0, "")
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -11,7 +11,7 @@
 import basaltport.proxy.response_stream as pieces
 import basaltport.proxy.node as role
 import basaltport.proxy.routing as table
-import tests.relay_stand as stand
+import tests.proxy_stand as stand
 
 
 class Sim:
@@ -20,7 +20,7 @@
     def __init__(self, rows, doc=None, timings=None, proxies=1):
         me = member.Me("h", "p1", "p1-s", "proxy", "z1", "127.0.0.1:1", "", [], 0)
         self.now = 100_000
-        self.m = role.Relay(me, 7, self.now, timings, 2)
+        self.m = role.ProxyNode(me, 7, self.now, timings, 2)
         self.m.born = identifiers.Millis(0)
         self.out = []
         self.n = 0
--- a/tests/test_relay_budget.py
+++ b/tests/test_relay_budget.py
@@ -1,14 +1,14 @@
 """Further arrivals keep within the budget however many requests ask for them at once."""
 
 import basaltport.proxy.events as events
-import tests.test_relay as relay_tests
+import tests.test_relay as proxy_tests
 
 RATIO, SLACK = 0.2, 4
 REQUESTS = 12
 
 
 def sim(*rows):
-    return relay_tests.Sim(rows, timings={"retry_ratio": RATIO, "retry_slack": SLACK})
+    return proxy_tests.Sim(rows, timings={"retry_ratio": RATIO, "retry_slack": SLACK})
 
 
 def asked(s, route):
@@ -24,17 +24,17 @@
 
 def test_requests_that_wait_to_go_again_count_before_they_go():
     """They find no replica at first, and then a new one that takes them all at once."""
-    s = sim(relay_tests.row("a"))
+    s = sim(proxy_tests.row("a"))
     again = []
     for a in asked(s, "safe"):
         again += attempts(s.end(a.attempt, "broken"))
     assert again == []
-    again = s.rows(relay_tests.row("a"), relay_tests.row("b", "z2"))
+    again = s.rows(proxy_tests.row("a"), proxy_tests.row("b", "z2"))
     assert 0 < len(again) <= RATIO * REQUESTS + SLACK
 
 
 def test_a_request_that_ends_while_it_waits_to_go_again_gives_its_part_back():
-    s = sim(relay_tests.row("a"))
+    s = sim(proxy_tests.row("a"))
     for a in asked(s, "safe"):
         s.end(a.attempt, "broken")
     budget = s.m.retry_of("write")
@@ -45,9 +45,9 @@
 
 
 def test_no_more_is_stopped_for_silence_than_may_go_again():
-    s = sim(relay_tests.row("a"))
+    s = sim(proxy_tests.row("a"))
     asked(s, "safe")
-    s.rows(relay_tests.row("a"), relay_tests.row("b", "z2"))
+    s.rows(proxy_tests.row("a"), proxy_tests.row("b", "z2"))
     stopped = [e for e in s.wait(400) if isinstance(e, events.Abort)]
     assert 0 < len(stopped) <= RATIO * REQUESTS + SLACK < REQUESTS
     ends = [e for a in stopped for e in s.end(a.attempt, "broken")]
--- a/tests/test_relay_clients.py
+++ b/tests/test_relay_clients.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-import tests.relay_stand as stand
+import tests.proxy_stand as stand
 import tests.test_relay_wire as wire
 
 W = stand.W
--- a/tests/test_relay_connections.py
+++ b/tests/test_relay_connections.py
@@ -9,7 +9,7 @@
 import basaltport.proxy.memory_limit as memory
 import basaltport.proxy.attempt_outcome as outcomes
 import basaltport.proxy.upstream as upstream
-import tests.relay_stand as stand
+import tests.proxy_stand as stand
 
 W = stand.W
 Outcome = outcomes.Outcome
--- a/tests/test_relay_faults.py
+++ b/tests/test_relay_faults.py
@@ -8,7 +8,7 @@
 import basaltport.identifiers as identifiers
 import basaltport.proxy.response as answer
 import basaltport.proxy.events as events
-import tests.relay_stand as stand
+import tests.proxy_stand as stand
 import tests.test_relay_wire as wire
 
 W = stand.W
--- a/tests/test_relay_promises.py
+++ b/tests/test_relay_promises.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-import tests.relay_stand as stand
+import tests.proxy_stand as stand
 
 W = stand.W
 
--- a/tests/test_relay_sequences.py
+++ b/tests/test_relay_sequences.py
@@ -7,7 +7,7 @@
 import basaltport.proxy.events as events
 import basaltport.proxy.attempt_outcome as outcomes
 import basaltport.proxy.request as request
-import tests.test_relay as relay_tests
+import tests.test_relay as proxy_tests
 
 Outcome = outcomes.Outcome
 DEPTH = 4
@@ -34,8 +34,8 @@
     """One request whose attempts end one after the other as `results` say."""
 
     def __init__(self, route, results):
-        rows = [relay_tests.row(f"r{n}", f"z{n % 2 + 1}") for n in range(REPLICAS)]
-        self.sim = relay_tests.Sim(rows, timings={"retry_slack": 1000})
+        rows = [proxy_tests.row(f"r{n}", f"z{n % 2 + 1}") for n in range(REPLICAS)]
+        self.sim = proxy_tests.Sim(rows, timings={"retry_slack": 1000})
         self.sent = []
         self.ends = []
         self.take(self.sim.ask(route, deadline=3000))
--- a/tests/test_request_bytes_faults.py
+++ b/tests/test_request_bytes_faults.py
@@ -3,7 +3,7 @@
 import asyncio
 
 
-import tests.relay_stand as stand
+import tests.proxy_stand as stand
 import tests.request_world as request_world
 
 W = stand.W
--- a/tests/test_request_bytes_machine.py
+++ b/tests/test_request_bytes_machine.py
@@ -93,8 +93,8 @@
     ("bare promise is not passed on", [(decision, "passable", lambda known: True)]),
     ("no more replicas than", [(request.Request, "spare", lambda self: True)]),
     ("within the budget", [(budget.Retries, "room", lambda self, now, nodes: True)]),
-    ("held past its deadline", [(role.Relay, "expire", lambda self: None)]),
-    ("has (its|one) end", [(role.Relay, "drop", lambda self, q: self.waiting.pop(q.id, None))]),
+    ("held past its deadline", [(role.ProxyNode, "expire", lambda self: None)]),
+    ("has (its|one) end", [(role.ProxyNode, "drop", lambda self, q: self.waiting.pop(q.id, None))]),
 ]
 
 
--- a/tests/test_route_scenarios.py
+++ b/tests/test_route_scenarios.py
@@ -43,7 +43,7 @@
 
 # mutations
 
-_refuse, _judged = relay.Relay.refuse, desk.DeskMixin.judged
+_refuse, _judged = relay.ProxyNode.refuse, desk.DeskMixin.judged
 _wanted = machine.Placement.wanted
 
 
@@ -157,11 +157,11 @@
     ),
     ("starved", "rare-models-at-once", [(machine.Placement, "wanted", _not_m20)]),
     ("back", "all-killed", [(elect.ElectMixin, "quorum", _only_founding)]),
-    ("final-word", "replicas-refuse", [(relay.Relay, "refuse", _now)]),
+    ("final-word", "replicas-refuse", [(relay.ProxyNode, "refuse", _now)]),
     (
         "held",
         "rare-models-at-once",
-        [(relay.Relay, "expire", lambda self: None), (machine.Placement, "wanted", _not_m20)],
+        [(relay.ProxyNode, "expire", lambda self: None), (machine.Placement, "wanted", _not_m20)],
     ),
     ("acked", "quiet", [(desk.DeskMixin, "acknowledge", lambda self, w: None)]),
 ]
--- a/tests/test_slow_peers.py
+++ b/tests/test_slow_peers.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-import tests.relay_stand as stand
+import tests.proxy_stand as stand
 import tests.slow_stand as slow_stand
 
 MIB = slow_stand.MIB
--- a/tests/test_wires.py
+++ b/tests/test_wires.py
@@ -207,7 +207,7 @@
     assert using == 0 and left == 0 and tally["sender-gone"] == 1
 
 
-class Relay:
+class ProxyNode:
     """A stand-in for the network between two members: forwards, holds all bytes, cuts in the middle."""
 
     def __init__(self, port):
@@ -270,7 +270,7 @@
         (port,) = fleet.ports(1)
         b = wires.Wires(f"127.0.0.1:{port}", hear, lambda p, why: refused.append(why))
         await b.start()
-        relay = Relay(port)
+        relay = ProxyNode(port)
         via = f"127.0.0.1:{await relay.start()}"
         a = wires.Wires("127.0.0.1:1", None, None)
         await play(a, b, via, relay, until, heard)
