--- a/basaltport/controller/admin.py
+++ b/basaltport/controller/admin_api.py
@@ -8,8 +8,8 @@
 
 import aiohttp.web
 
-import basaltport.controller.pages as pages
-import basaltport.controller.view as view
+import basaltport.controller.admin_pages as pages
+import basaltport.controller.status_view as view
 import basaltport.identifiers as identifiers
 import basaltport.proxy.status_pages as proxy_status
 
--- a/basaltport/controller/pages.py
+++ b/basaltport/controller/admin_pages.py
@@ -16,6 +16,6 @@
 
     async def serve(self, request):
         if self.admin is None:
-            m = await asyncio.to_thread(importlib.import_module, "basaltport.controller.admin")
+            m = await asyncio.to_thread(importlib.import_module, "basaltport.controller.admin_api")
             self.admin = self.admin or getattr(m, f"of_{self.of}")(self.shell)
         return await self.admin.serve(request)
--- a/basaltport/controller/shell.py
+++ b/basaltport/controller/server.py
@@ -13,7 +13,7 @@
 import basaltport.consensus.member_identity as member_identity
 import basaltport.events as base
 import basaltport.controller.events as events
-import basaltport.controller.role as role
+import basaltport.controller.node as role
 import basaltport.identifiers as identifiers
 import basaltport.logs as logs
 import basaltport.member as member
--- a/basaltport/local_fleet/port.py
+++ b/basaltport/local_fleet/port.py
@@ -9,7 +9,7 @@
 import aiohttp
 import aiohttp.web
 
-import basaltport.controller.pages as pages
+import basaltport.controller.admin_pages as pages
 import basaltport.local_fleet.stand_ins as stand_ins
 import basaltport.placement.effects as effects
 import basaltport.replica_client.adapter as adapter
--- a/basaltport/local_fleet/process.py
+++ b/basaltport/local_fleet/process.py
@@ -8,7 +8,7 @@
 
 import absl.flags as flags
 
-import basaltport.controller.shell as keeper_shell
+import basaltport.controller.server as keeper_shell
 import basaltport.local_fleet.messages as messages
 import basaltport.local_fleet.port as port
 import basaltport.local_fleet.stand_ins as stand_ins
--- a/basaltport/proxy/server.py
+++ b/basaltport/proxy/server.py
@@ -15,7 +15,7 @@
 import aiohttp.web
 
 import basaltport.events as base
-import basaltport.controller.pages as pages
+import basaltport.controller.admin_pages as pages
 import basaltport.identifiers as identifiers
 import basaltport.logs as logs
 import basaltport.member as member
--- a/basaltport/scale/part.py
+++ b/basaltport/scale/part.py
@@ -7,7 +7,7 @@
 import signal
 import sys
 
-import basaltport.controller.shell as keeper
+import basaltport.controller.server as keeper
 import basaltport.identifiers as identifiers
 import basaltport.proxy.server as relay
 import basaltport.proxy.header_names as words
--- a/basaltport/simulation/routes/nodes.py
+++ b/basaltport/simulation/routes/nodes.py
@@ -8,7 +8,7 @@
 import basaltport.consensus.quorum as quorum
 import basaltport.events as events
 import basaltport.frames as frames
-import basaltport.controller.role as role
+import basaltport.controller.node as role
 import basaltport.identifiers as identifiers
 import basaltport.member as member
 import basaltport.simulation.virtual_disk as simdisk
--- a/tests/fleet_stand.py
+++ b/tests/fleet_stand.py
@@ -6,7 +6,7 @@
 
 import aiohttp.web
 
-import basaltport.controller.admin as admin
+import basaltport.controller.admin_api as admin
 import basaltport.controller.events as keeper_events
 import basaltport.identifiers as identifiers
 import basaltport.member as member
--- a/tests/model_mutations.py
+++ b/tests/model_mutations.py
@@ -23,8 +23,8 @@
 import basaltport.consensus.voter as voter
 import basaltport.fleet.follow as follow
 import basaltport.fleet.publish as publish
-import basaltport.controller.desk as desk
-import basaltport.controller.duties as duties
+import basaltport.controller.operator_requests as desk
+import basaltport.controller.shard_ownership as duties
 import basaltport.identifiers as identifiers
 import basaltport.member as member
 import basaltport.model.finding as finding
--- a/tests/test_control_scenarios.py
+++ b/tests/test_control_scenarios.py
@@ -9,8 +9,8 @@
 import basaltport.consensus.replication as replication
 import basaltport.consensus.timing as timing
 import basaltport.consensus.voting_policy as voting_policy
-import basaltport.controller.desk as desk
-import basaltport.controller.role as role
+import basaltport.controller.operator_requests as desk
+import basaltport.controller.node as role
 import basaltport.simulation.routes.control as control
 import basaltport.simulation.routes.control_losses as control_losses
 import basaltport.simulation.routes.control_play as control_play
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -3,7 +3,7 @@
 import pytest
 
 import basaltport.events as events
-import basaltport.controller.duties as duties
+import basaltport.controller.shard_ownership as duties
 import basaltport.controller.events as role_events
 import basaltport.placement.effects as effects
 import tests.keeper_parts as parts
--- a/tests/test_fleet_cli.py
+++ b/tests/test_fleet_cli.py
@@ -14,8 +14,8 @@
 
 import pytest
 
-import basaltport.controller.admin as admin
-import basaltport.controller.view as view
+import basaltport.controller.admin_api as admin
+import basaltport.controller.status_view as view
 import basaltport.identifiers as identifiers
 import basaltport.main as main
 import basaltport.proxy.events as events
@@ -202,7 +202,7 @@
 
 def test_metrics_where_a_process_runs_without_ssl():
     code = (
-        "import sys; sys.modules['ssl'] = None; import basaltport.controller.admin as a;"
+        "import sys; sys.modules['ssl'] = None; import basaltport.controller.admin_api as a;"
         "assert 'prometheus_client' not in sys.modules;"
         "r = a.library(); print(r.generate_latest(r.CollectorRegistry()), sys.modules['ssl'])"
     )
--- a/tests/test_log_gaps.py
+++ b/tests/test_log_gaps.py
@@ -3,7 +3,7 @@
 import pytest
 
 import basaltport.consensus.book as book
-import basaltport.controller.duties as duties
+import basaltport.controller.shard_ownership as duties
 import basaltport.identifiers as identifiers
 import basaltport.messages as messages
 import tests.keepers as keepers
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -9,7 +9,7 @@
 import basaltport.consensus.leaving as leaving
 import basaltport.consensus.timing as timing
 import basaltport.events as events
-import basaltport.controller.role as role
+import basaltport.controller.node as role
 import basaltport.identifiers as identifiers
 import basaltport.member as member
 import basaltport.messages as messages
--- a/tests/test_route_scenarios.py
+++ b/tests/test_route_scenarios.py
@@ -4,8 +4,8 @@
 
 import basaltport.consensus.elect as elect
 import basaltport.fleet.follow as follow
-import basaltport.controller.desk as desk
-import basaltport.controller.duties as duties
+import basaltport.controller.operator_requests as desk
+import basaltport.controller.shard_ownership as duties
 import basaltport.placement.choose as choose
 import basaltport.placement.machine as machine
 import basaltport.placement.orders as orders
