--- a/basaltport/admin/fleet_cli.py
+++ b/basaltport/admin/fleet_cli.py
@@ -132,14 +132,14 @@
 
 
 def human_status(d):
-    (human_proxy if d["role"] == "proxy" else human_keeper)(d)
+    (human_proxy if d["role"] == "proxy" else human_controller)(d)
 
 
 def age(ms):
     return "never" if ms is None else f"{ms / 1000:.1f} s ago"
 
 
-def human_keeper(d):
+def human_controller(d):
     print(f"{d['name']}: leader {d['leader'] or 'none'}, generation {d['generation']}, serial {d['serial']}")
     print(f"configuration {d['edition'] or 'none yet'}; evacuated: {', '.join(d['evacuated']) or 'none'}")
     if d["leads"]:
--- a/basaltport/controller/admin_api.py
+++ b/basaltport/controller/admin_api.py
@@ -99,7 +99,7 @@
 # keepers
 
 
-def of_keeper(shell, now=identifiers.steady):
+def controller_admin(shell, now=identifiers.steady):
     """For a KeeperShell. What the leader alone knows is asked of it: 307 to it; 503 where none is known, with
     what this keeper knows itself, as `?own=1` gives it at any time."""
 
@@ -129,7 +129,7 @@
 # proxies
 
 
-def of_proxy(shell, now=identifiers.steady):
+def proxy_admin(shell, now=identifiers.steady):
     """For a RelayShell."""
 
     def explain(query):
--- a/basaltport/controller/node.py
+++ b/basaltport/controller/node.py
@@ -17,8 +17,8 @@
 PUT_OFF = 2000
 
 
-class Keeper(
-    duties.DutiesMixin,
+class Controller(
+    duties.ShardOwnershipMixin,
     desk.DeskMixin,
     publish.PublishMixin,
     node.ConsensusNode,
--- a/basaltport/controller/server.py
+++ b/basaltport/controller/server.py
@@ -54,7 +54,7 @@
         self.todo.put(None)
 
 
-class KeeperShell(shell.Shell):
+class ControllerServer(shell.Shell):
     """`settings`: as in docs/platform.md. `port`, the platform's: async `start(shell)`, `stop()`, `list()` ->
     rows or None, `order(effect)` -> outcome, `report(effect)` -> dict or None; if it has one, `reload()`."""
 
@@ -101,7 +101,7 @@
         )
         lease = s.get("timings", {}).get("lease_ms", role.LEASE)
         seed = random.SystemRandom().getrandbits(64)
-        self.member = role.Keeper(
+        self.member = role.Controller(
             self.me,
             seed,
             identifiers.steady(),
--- a/basaltport/controller/shard_ownership.py
+++ b/basaltport/controller/shard_ownership.py
@@ -27,7 +27,7 @@
 
 
 @messages.message(50)
-class Do:
+class OrderRequest:
     """Planner to executor. `echo`: the newest ack of the executor's that the planner has; by its age an order
     that was held up on its way is known. `adapter` is "" for a model."""
 
@@ -44,7 +44,7 @@
 
 
 @messages.message(51)
-class Did:
+class OrderResult:
     """`outcome` as in `keeper.events.Ordered`; failed where nothing was sent."""
 
     gen: identifiers.Term
@@ -54,18 +54,18 @@
 
 
 @messages.message(52)
-class Resign:
+class ExecutorResigned:
     """A seat stops: in the life that `k`, one of its acks, is of, it sends no order any more."""
 
     seat: identifiers.MemberId
     k: int
 
 
-def slice_of(replica):
+def shard_of(replica):
     return str(zlib.crc32(replica.encode()) % SLICES)
 
 
-class DutiesMixin:
+class ShardOwnershipMixin:
     """Needs RosterMixin, VoterMixin and CampaignMixin, which come after it. `lease_ms`: as in settings."""
 
     def duties_start(self):
@@ -115,16 +115,16 @@
 
     def owns(self, replica, fence):
         """Whether this keeper alone may order there now."""
-        i = slice_of(replica)
+        i = shard_of(replica)
         r = self.slices().get(i)
         if self.stopped or r is None or r["owner"] != self.me.seat or r["fence"] != fence:
             return False
         return self.book["serial"] >= self.top_seen and self.ripe(i) and self.duty_leased()
 
-    def hear_do(self, src, m):
+    def hear_orderrequest(self, src, m):
         fresh = self.now - self.sent_at.get(m.echo, NEVER) <= STALE
         if m.gen < self.promised or not fresh or not self.owns(m.replica, m.fence):
-            self.send(m.address, Did(m.gen, m.order, "failed", identifiers.Millis(0)))
+            self.send(m.address, OrderResult(m.gen, m.order, "failed", identifiers.Millis(0)))
             return
         self.carry_out(
             m.address, m.gen, m.order, m.replica, m.at, m.kind, m.model, m.adapter or None, m.fence
@@ -139,28 +139,28 @@
         address, gen, order = self.doing.pop(ev.order, (None, None, None))
         if gen is None:
             return
-        m = Did(gen, order, ev.outcome, ev.took)
+        m = OrderResult(gen, order, ev.outcome, ev.took)
         if address == self.me.addr:
-            self.hear_did("", m)
+            self.hear_orderresult("", m)
             return
         self.send(address, m)
 
     def resign_at_stop(self):
         """Whoever leads need not wait for this one's lease."""
         if not self.leading and self.leader is not None:
-            self.send(self.leader.addr, Resign(self.me.seat, self.ack_k))
+            self.send(self.leader.addr, ExecutorResigned(self.me.seat, self.ack_k))
 
     def resign_again(self, m):
         """A leader that was elected since is told as well."""
         if self.stopped and not self.leading:
-            self.send(m.addr, Resign(self.me.seat, self.ack_k))
+            self.send(m.addr, ExecutorResigned(self.me.seat, self.ack_k))
 
     # the planner
 
     def may_order(self, replica):
         """As far as the leader knows: its owner is leased, knows of it, has waited, and what another planner
         had ordered through it has arrived."""
-        i = slice_of(replica)
+        i = shard_of(replica)
         r = self.slices().get(i)
         if not self.leading or r is None or r != self.tip_book["slices"].get(i) or not self.ripe(i):
             return False
@@ -178,7 +178,7 @@
         if not self.may_order(e.replica):
             self.returned.append(e.order)
             return
-        r = self.slices()[slice_of(e.replica)]
+        r = self.slices()[shard_of(e.replica)]
         s, fence = r["owner"], identifiers.Fence(r["fence"])
         self.put_out[e.order] = self.now
         if s == self.me.seat:
@@ -187,9 +187,9 @@
             return
         what = (e.replica, e.address, e.kind, e.model, e.adapter or "", fence)
         addr = self.addr_of(s) or self.tip_book["roster"][s]["addr"]
-        self.send(addr, Do(self.promised, e.order, self.echoes[s][0], self.me.addr, *what))
+        self.send(addr, OrderRequest(self.promised, e.order, self.echoes[s][0], self.me.addr, *what))
 
-    def hear_did(self, src, m):
+    def hear_orderresult(self, src, m):
         """That an executor was fenced says nothing of who leads."""
         if not self.leading or m.gen != self.promised or m.order not in self.put_out:
             return
@@ -214,7 +214,7 @@
         """The leader that is followed hands over."""
         self.ceded = (m.gen, self.leader.seat)
 
-    def hear_resign(self, src, m):
+    def hear_executorresigned(self, src, m):
         e = self.echoes.get(m.seat) if self.leading else None
         if e is None or e[0] >> follower.LIFE != m.k >> follower.LIFE:
             return
--- a/basaltport/local_fleet/port.py
+++ b/basaltport/local_fleet/port.py
@@ -22,7 +22,7 @@
 Rows = list[Document]
 
 
-class Keeper(typing.Protocol):
+class Controller(typing.Protocol):
     """What this port needs of the keeper's shell."""
 
     async def ask(self, verb: str, body: Document) -> tuple[int, Document]:
@@ -43,11 +43,11 @@
     def __init__(self, settings: PortSettings) -> None:
         """Keep the addresses; `start` opens the connections."""
         self.settings = settings
-        self.shell: Keeper | None = None
+        self.shell: Controller | None = None
         self.session: aiohttp.ClientSession | None = None
         self.runner: aiohttp.web.AppRunner | None = None
 
-    async def start(self, shell: Keeper) -> None:
+    async def start(self, shell: Controller) -> None:
         """Listen for operators on behalf of `shell`."""
         self.shell = shell
         timeout = aiohttp.ClientTimeout(total=CALL_S)
@@ -99,7 +99,7 @@
         """The configuration in force, as a majority of keepers confirms it."""
         return _response(*await self._shell().ask("configuration", {}))
 
-    def _shell(self) -> Keeper:
+    def _shell(self) -> Controller:
         assert self.shell is not None
         return self.shell
 
--- a/basaltport/local_fleet/process.py
+++ b/basaltport/local_fleet/process.py
@@ -8,7 +8,7 @@
 
 import absl.flags as flags
 
-import basaltport.controller.server as keeper_shell
+import basaltport.controller.server as controller_server
 import basaltport.local_fleet.messages as messages
 import basaltport.local_fleet.port as port
 import basaltport.local_fleet.stand_ins as stand_ins
@@ -19,10 +19,10 @@
 FAILED = 1
 
 
-async def run_keeper(settings: dict[str, typing.Any]) -> None:
+async def run_controller(settings: dict[str, typing.Any]) -> None:
     """Serve as a keeper until a signal ends the process."""
     addresses = port.PortSettings(settings["listing"]["address"], settings["operators"])
-    await keeper_shell.KeeperShell(settings, port.Port(addresses)).run()
+    await controller_server.ControllerServer(settings, port.Port(addresses)).run()
 
 
 async def run_proxy(settings: dict[str, typing.Any]) -> None:
@@ -41,7 +41,7 @@
     await replicas.stop()
 
 
-ROLES = {"keeper": run_keeper, "proxy": run_proxy, "stand-ins": run_stand_ins}
+ROLES = {"keeper": run_controller, "proxy": run_proxy, "stand-ins": run_stand_ins}
 
 
 async def _run_for(process: messages.ProcessSettings) -> None:
--- a/basaltport/local_fleet/runner.py
+++ b/basaltport/local_fleet/runner.py
@@ -13,7 +13,7 @@
 
 HOUSE = "local"
 ZONES = ("z1", "z2", "z3")
-KEEPERS = 3
+CONTROLLERS = 3
 REPLICAS = 3
 TIMINGS = {"lease_ms": 3000, "grace_s": 1}
 STARTUP_S = 20
@@ -35,12 +35,12 @@
 
     def plan(self) -> None:
         """Choose ports and write each process's settings."""
-        free = (f"{fleet.IP}:{number}" for number in fleet.ports(2 * KEEPERS + 4 + REPLICAS))
+        free = (f"{fleet.IP}:{number}" for number in fleet.ports(2 * CONTROLLERS + 4 + REPLICAS))
         self.listing = next(free)
         self._plan_stand_ins(free)
-        seeds = [next(free) for _ in range(KEEPERS)]
+        seeds = [next(free) for _ in range(CONTROLLERS)]
         for index, address in enumerate(seeds):
-            self._plan_keeper(index, address, next(free), seeds)
+            self._plan_controller(index, address, next(free), seeds)
         self._plan_proxy(free, seeds)
         self._write_addresses()
 
@@ -77,7 +77,7 @@
         settings = messages.StandInSettings(self.listing, replicas)
         self._plan_process("stand-ins", "stand-ins", dataclasses.asdict(settings))
 
-    def _plan_keeper(self, index: int, address: str, operators: str, seeds: list[str]) -> None:
+    def _plan_controller(self, index: int, address: str, operators: str, seeds: list[str]) -> None:
         name = f"keeper-{index + 1}"
         self.keepers.append(operators)
         settings = self._member(name, ZONES[index], address, seeds)
--- a/basaltport/model/world.py
+++ b/basaltport/model/world.py
@@ -6,7 +6,7 @@
 
 import basaltport.events as events
 import basaltport.fleet.messages as fleet_messages
-import basaltport.controller.events as keeper_events
+import basaltport.controller.events as controller_events
 import basaltport.member as member
 import basaltport.messages as messages
 import basaltport.model.checks as checks
@@ -66,7 +66,7 @@
     def read_list(self, node: nodes.Node, life: int) -> None:
         """Its answer comes."""
         rows = [{"id": r, "service": "s", "models": {}} for r in REPLICAS]
-        listed: typing.Callable[..., object] = keeper_events.Listed
+        listed: typing.Callable[..., object] = controller_events.Listed
         self.give(node, life, listed(self.now, True, rows))
 
     def do_order(self, node: nodes.Node, effect: effects.Order) -> None:
--- a/basaltport/scale/cli.py
+++ b/basaltport/scale/cli.py
@@ -100,7 +100,7 @@
         fs.append(finding("seconds", f"{runs} runs take {need}"))
     if len({getattr(s, axis(ss)) for s in ss}) < fit.LEAST:
         fs.append(finding("sizes", f"no field has {fit.LEAST} values"))
-    if fleet.KEEPERS + fv.proxies + fv.hosts + 1 > PROCESSES:
+    if fleet.CONTROLLERS + fv.proxies + fv.hosts + 1 > PROCESSES:
         fs.append(finding("hosts", f"over {PROCESSES} processes"))
     return ss, calm, fs
 
--- a/basaltport/scale/fleet.py
+++ b/basaltport/scale/fleet.py
@@ -6,7 +6,7 @@
 import basaltport.simulation.query_api.drills.fleet as fleet
 import basaltport.scale.size as size_
 
-KEEPERS = 3
+CONTROLLERS = 3
 HOUSE = "scale"
 LIMIT = 1 << 24
 
@@ -25,9 +25,9 @@
     def plan(self):
         o, n = self.opts, self.size.nodes
         hosts = min(o.hosts, n)
-        ps = iter(fleet.ports(2 * KEEPERS + 4 * o.proxies + hosts + n))
+        ps = iter(fleet.ports(2 * CONTROLLERS + 4 * o.proxies + hosts + n))
         address = lambda: f"{fleet.IP}:{next(ps)}"  # noqa: E731
-        keepers = [address() for _ in range(KEEPERS)]
+        keepers = [address() for _ in range(CONTROLLERS)]
         base = {"house": HOUSE, "seeds": keepers, "timings": {"lease_ms": 3000, "grace_s": 1}}
         size = self.size.doc()
         for k, a in enumerate(keepers):
--- a/basaltport/scale/part.py
+++ b/basaltport/scale/part.py
@@ -69,7 +69,7 @@
         return r and {"models": {m: list(a) for m, a in r["models"].items()}, "busy": False, "orders": 0}
 
 
-class Keeper(keeper.KeeperShell):
+class Controller(keeper.ControllerServer):
     """Notes when it first held its lead, by generation."""
 
     def __init__(self, settings, port):
@@ -83,10 +83,10 @@
             self.held[m.promised.count] = int(identifiers.steady())
 
 
-class KeeperPart:
+class ControllerPart:
     def __init__(self, conf):
         self.port = Port(size_.Size(**conf["size"]))
-        self.shell = Keeper(conf["settings"], self.port)
+        self.shell = Controller(conf["settings"], self.port)
 
     async def run(self):
         await self.shell.run()
@@ -174,7 +174,7 @@
         return {"at": int(identifiers.steady())}
 
 
-ROLES = {"keeper": KeeperPart, "proxy": ProxyPart, "hollow": HollowPart}
+ROLES = {"keeper": ControllerPart, "proxy": ProxyPart, "hollow": HollowPart}
 
 
 class Questions:
--- a/basaltport/simulation/routes/control_checks.py
+++ b/basaltport/simulation/routes/control_checks.py
@@ -87,7 +87,7 @@
     ]
 
 
-def keeper_back(trace, about):
+def controller_back(trace, about):
     """In one life of a control machine no older configuration comes into force."""
     out, newest = [], {}
     for r in trace:
@@ -143,7 +143,7 @@
     wrongly_refused,
     refused_but_taken,
     repeat_refused,
-    keeper_back,
+    controller_back,
     old_given,
     one_holder,
     bounds,
--- a/basaltport/simulation/routes/control_losses.py
+++ b/basaltport/simulation/routes/control_losses.py
@@ -32,7 +32,7 @@
 def lose(p: control_play.ControlPlay, first: str, new: str, gone: str) -> list[str]:
     lost = victims(p, first, new, gone)
     for name in lost:
-        p.w.lose_keeper(name)
+        p.w.lose_controller(name)
     return lost
 
 
@@ -45,15 +45,15 @@
     moment, variant = p.sweep()
     old = p.leader() if variant % 2 else p.follower()
     new = w.new_name()
-    w.add_keeper(new)
+    w.add_controller(new)
     w.run(w.catch_up_ms - (BEFORE_STOP_MS if moment < BEFORE_STOP_MS else 0))
     since = w.now
     if moment >= BEFORE_STOP_MS:
-        w.retire_keeper(old)
+        w.retire_controller(old)
     w.run(max(0, moment - BEFORE_STOP_MS) if moment >= BEFORE_STOP_MS else moment)
     lose(p, VICTIMS[variant // 2 % len(VICTIMS)], new, old)
     if moment < BEFORE_STOP_MS:
-        w.later(since + BEFORE_STOP_MS - w.now, w.retire_keeper, old)
+        w.later(since + BEFORE_STOP_MS - w.now, w.retire_controller, old)
     p.majority()
     w.run(BEFORE_STOP_MS)
     p.majority("majority-after-stop")
@@ -64,9 +64,9 @@
     """The old one is gone; a second later another starts, under its own name or the former one."""
     w = p.w
     name = w.new_name() if own_name else old
-    w.remove_keeper(old)
+    w.remove_controller(old)
     w.run(GONE_MS)
-    w.add_keeper(name)
+    w.add_controller(name)
     return name
 
 
@@ -94,8 +94,8 @@
     moment, variant = p.sweep()
     old = p.leader() if variant % 2 else p.follower()
     new = w.new_name() if variant // 2 % 2 == 0 else old
-    w.remove_keeper(old)
-    w.later(GONE_MS, w.add_keeper, new)
+    w.remove_controller(old)
+    w.later(GONE_MS, w.add_controller, new)
     w.run(moment)
     first = VICTIMS[variant // 4 % len(VICTIMS)]
     lost = lose(p, first, new if new in w.nodes else p.leader(), old)
@@ -115,7 +115,7 @@
     w.traffic(control_play.LOW_FLOW, w.mix)
     moment, variant = p.sweep()
     new = w.new_name()
-    w.add_keeper(new)
+    w.add_controller(new)
     w.run(w.catch_up_ms)
     old = p.leader()
     for name in sorted(w.core - {old})[: 1 + variant % 2]:
@@ -124,7 +124,7 @@
     for name in w.up_members():
         w.repeat(change, name)
     w.run(moment // STEPS_A_MS)
-    w.retire_keeper(old)
+    w.retire_controller(old)
     w.run(1000)
     for node in w.core_nodes():
         node.disk.slow = 1
@@ -203,8 +203,8 @@
 
     def replace(name: str) -> str:
         new = name if p.seed % 2 else p.w.new_name()
-        p.w.remove_keeper(name)
-        p.w.add_keeper(new)
+        p.w.remove_controller(name)
+        p.w.add_controller(new)
         p.w.run(1)
         return new
 
@@ -223,9 +223,9 @@
     for _ in range(3):
         w.must(w.configure)
     if p.seed % 3 == 2:
-        w.remove_keeper(name)
+        w.remove_controller(name)
         name = w.new_name()
-        w.add_keeper(name)
+        w.add_controller(name)
     w.link_mbps[name] = SLOW_MBPS
     if w.nodes[name].member is None:
         w.back(name)
--- a/basaltport/simulation/routes/control_world.py
+++ b/basaltport/simulation/routes/control_world.py
@@ -8,8 +8,8 @@
 LOOK = 10
 END_AFTER_RELEASE = 100
 RELEASE_LOOK = 20
-GROWN_KEEPERS = 5
-CATCH_UP_MS = {3: 4000, GROWN_KEEPERS: 6000}
+GROWN_CONTROLLERS = 5
+CATCH_UP_MS = {3: 4000, GROWN_CONTROLLERS: 6000}
 
 
 class ControlWorld(slow_links.SlowLinkMixin, control_operator.ControlOperatorMixin, fleetworld.World):
@@ -27,9 +27,9 @@
     def step(self, n, ev):
         super().step(n, ev)
         if n.disk is not None and n.member is not None:
-            self.look_at_keeper(n)
+            self.check_controller(n)
 
-    def look_at_keeper(self, n) -> None:
+    def check_controller(self, n) -> None:
         document = n.member.book["manifest"]
         if document is None or document is self.kept_shown.get((n.name, n.life)):
             return
@@ -58,14 +58,14 @@
     def new_name(self) -> str:
         return f"k{max(int(name[1:]) for name in self.core) + 1}"
 
-    def add_keeper(self, name: str, after: int = 0) -> None:
+    def add_controller(self, name: str, after: int = 0) -> None:
         """An empty control machine starts at an address that nobody had."""
         self.add(name)
         self.core.add(name)
         self.disturb(name)
         self.later(after, self.boot, name)
 
-    def remove_keeper(self, name: str) -> None:
+    def remove_controller(self, name: str) -> None:
         """It is gone for good, with its disk."""
         self.kill(name, power=True)
         node = self.nodes.pop(name)
@@ -73,7 +73,7 @@
         self.core.discard(name)
         self.core_upset = self.now
 
-    def retire_keeper(self, name: str) -> None:
+    def retire_controller(self, name: str) -> None:
         """SIGTERM; its process ends once the others need its vote no more, and it is gone for good."""
         node = self.nodes[name]
         self.disturb(name)
@@ -92,9 +92,9 @@
 
     def end_retired(self, name: str, node) -> None:
         if self.nodes.get(name) is node:
-            self.remove_keeper(name)
+            self.remove_controller(name)
 
-    def lose_keeper(self, name: str) -> None:
+    def lose_controller(self, name: str) -> None:
         """It loses power, and stays away."""
         if name in self.nodes and self.nodes[name].member is not None:
             self.kill(name, power=True)
--- a/basaltport/simulation/routes/fleet_world.py
+++ b/basaltport/simulation/routes/fleet_world.py
@@ -177,7 +177,7 @@
         end = self.now + 1000 * self.timings["grace_s"] - 800
         self.later(2600, done)
 
-    def stop_keeper(self, name, after=500):
+    def stop_controller(self, name, after=500):
         """SIGTERM: a leader hands over; it ends soon and starts again."""
         n = self.nodes[name]
         if n.member is None or n.frozen:
--- a/basaltport/simulation/routes/mayhem.py
+++ b/basaltport/simulation/routes/mayhem.py
@@ -163,7 +163,7 @@
 def hand_over(w, x, y, ms):
     """A keeper is stopped in good order."""
     if len(up(w, "k")) == len(w.core):
-        w.stop_keeper(pick(w.core, x), ms)
+        w.stop_controller(pick(w.core, x), ms)
 
 
 def apart_from_proxies(w, x, y, ms):
--- a/basaltport/simulation/routes/nodes.py
+++ b/basaltport/simulation/routes/nodes.py
@@ -125,7 +125,7 @@
             fs = n.founders
             me = member.Me(*args, voters="ledgers", first_start=fs is not None, founders=fs or [])
             seed = self.rng.getrandbits(32)
-            n.member = role.Keeper(me, seed, self.clock(n), held, promised, self.placement())
+            n.member = role.Controller(me, seed, self.clock(n), held, promised, self.placement())
         else:
             n.member = self.proxy_of(member.Me(*args), self.rng.getrandbits(32))
         n.life, n.frozen, n.held, n.book = n.life + 1, False, [], None
--- a/basaltport/simulation/routes/replicas.py
+++ b/basaltport/simulation/routes/replicas.py
@@ -4,7 +4,7 @@
 import random
 import zlib
 
-import basaltport.controller.events as keeper_events
+import basaltport.controller.events as controller_events
 import basaltport.simulation.routes.engine as routeengine
 
 QUEUE = 8
@@ -176,7 +176,7 @@
     def do_list(self, n, e):
         rows = [dict(r) for r in self.seen(self.lag)]
         ok = not self.list_down
-        ev = keeper_events.Listed(self.now, ok, rows if ok else [])
+        ev = controller_events.Listed(self.now, ok, rows if ok else [])
         self.later(self.rng.randrange(3, 25), self.give, n, n.life, ev)
 
     def do_order(self, n, e):
@@ -217,7 +217,7 @@
         self.later(self.rng.randrange(1, 8), self.told, n, life, e, got, at)
 
     def told(self, n, life, e, got, at):
-        self.later(0, self.give, n, life, keeper_events.Ordered(self.now, e.order, got, self.now - at))
+        self.later(0, self.give, n, life, controller_events.Ordered(self.now, e.order, got, self.now - at))
 
     def do_report(self, n, e):
         life = n.life
@@ -228,7 +228,7 @@
             row = next((x for x in rows if x["id"] == e.replica), None)
             body = {"models": row["models"], "busy": row["busy"], "orders": row["taken"]} if row else {}
             ms = CALL if r == "silent" or r is not None and r != "silent" and r.dark else 3
-            ev = keeper_events.Reported(self.now, e.replica, bool(row), body)
+            ev = controller_events.Reported(self.now, e.replica, bool(row), body)
             self.later(ms, self.give, n, life, ev)
 
         self.reach(n, e.address, reached)
--- a/basaltport/simulation/routes/scenes.py
+++ b/basaltport/simulation/routes/scenes.py
@@ -298,7 +298,7 @@
 def keepers_rolled(p):
     """Each keeper is stopped in order, a leader hands over, and started again."""
     for k in sorted(p.w.core):
-        p.w.stop_keeper(k, 1000)
+        p.w.stop_controller(k, 1000)
         p.w.run(500)
         p.w.must(p.w.configure)
         p.w.run(4000)
--- a/tests/fleet_stand.py
+++ b/tests/fleet_stand.py
@@ -7,7 +7,7 @@
 import aiohttp.web
 
 import basaltport.controller.admin_api as admin
-import basaltport.controller.events as keeper_events
+import basaltport.controller.events as controller_events
 import basaltport.identifiers as identifiers
 import basaltport.member as member
 import basaltport.placement.machine as machine
@@ -48,7 +48,7 @@
     def do_report(self, n, e):
         models = next(r["models"] for r in self.listing if r["id"] == e.replica)
         report = {"models": models, "busy": False, "orders": 0}
-        self.later(5, self.give, n, n.life, keeper_events.Reported(self.now, e.replica, True, report))
+        self.later(5, self.give, n, n.life, controller_events.Reported(self.now, e.replica, True, report))
 
 
 class Thread:
@@ -113,7 +113,7 @@
         w.listing = [row("r1", "z1", {"birch": ["a1"]}), row("r2", "z2", {})]
         self.names = sorted(w.nodes)
         shells = {n: self.shell(n) for n in self.names}
-        self.served = Thread({n: admin.of_keeper(s, lambda: w.now) for n, s in shells.items()})
+        self.served = Thread({n: admin.controller_admin(s, lambda: w.now) for n, s in shells.items()})
 
     def shell(self, name):
         """What an Admin needs of a shell; the list of replicas came 300 ms ago."""
--- a/tests/model_mutations.py
+++ b/tests/model_mutations.py
@@ -376,8 +376,8 @@
         "orders without a lease",
         {Rule.ORDERS},
         [
-            (duties.DutiesMixin, "duty_leased", always),
-            (duties.DutiesMixin, "ripe", always),
+            (duties.ShardOwnershipMixin, "duty_leased", always),
+            (duties.ShardOwnershipMixin, "ripe", always),
             (duties, "STALE", 10**9),
         ],
         range(1, 60),
--- a/tests/test_control_scenarios.py
+++ b/tests/test_control_scenarios.py
@@ -80,7 +80,7 @@
 _judged, _load_for, _keep_snapshot = (
     desk.DeskMixin.judged,
     replication.ReplicationMixin.load_for,
-    role.Keeper.keep_snapshot,
+    role.Controller.keep_snapshot,
 )
 
 
@@ -142,7 +142,7 @@
     ("holder-behind", "leader-cut-20s", NEVER_STEPS_DOWN),
     ("old-given", "leader-cut-20s", NEVER_STEPS_DOWN),
     ("wrongly-refused", "leader-cut-20s", [(*JUDGED, _refuses_some)]),
-    ("keeper-back", "leader-cut-20s", [(role.Keeper, "keep_snapshot", _falls_back)]),
+    ("keeper-back", "leader-cut-20s", [(role.Controller, "keep_snapshot", _falls_back)]),
     ("two-confirmed", "two-operators-one-number", [(*JUDGED, _no_comparison)]),
     ("refused-but-taken", "two-operators-one-number", [(*JUDGED, _taken_though_refused)]),
     ("repeat-refused", "two-operators-one-number", [(book, "_remember", _forgets_changes)]),
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -95,7 +95,7 @@
         super().freeze(name, on)
 
     def do_send(self, n, e):
-        if isinstance(e.msg, duties.Do) and self.rng.random() < self.slow:
+        if isinstance(e.msg, duties.OrderRequest) and self.rng.random() < self.slow:
             to = self.by_addr[e.addr]
             self.later(self.rng.randrange(100, 900), self.arrive, n, to, to.life, e.msg)
             return
@@ -134,7 +134,7 @@
 
 def of(w, name):
     o = w.owners()
-    return [r for r in REPLICAS if o[duties.slice_of(r)] == name]
+    return [r for r in REPLICAS if o[duties.shard_of(r)] == name]
 
 
 def gap(w, name, at):
@@ -230,12 +230,12 @@
     w = founded()
     lead, n = w.nodes[w.leader()].member, w.nodes[keepers.others(w)[0]]
     r = of(w, n.name)[0]
-    f = lead.book["slices"][duties.slice_of(r)]["fence"]
+    f = lead.book["slices"][duties.shard_of(r)]["fence"]
     gen, k = lead.promised, lead.echoes[n.seat][0]
     older = type(gen)(gen.count - 1, gen.name)
 
     def does(g, fence, echo):
-        m = duties.Do(g, 999, echo, lead.me.addr, r, "a:1", "load", "m", "", fence)
+        m = duties.OrderRequest(g, 999, echo, lead.me.addr, r, "a:1", "load", "m", "", fence)
         return any(isinstance(e, effects.Order) for e in n.member.step(events.Heard(w.now, "", m)))
 
     assert does(gen, f, k)
@@ -319,7 +319,7 @@
 
 @pytest.mark.parametrize("name,wrong", [("duty_leased", leased), ("ripe", ripe), ("owns", unfenced)])
 def test_the_check_sees_what_is_wrong(name, wrong, lively, monkeypatch):
-    monkeypatch.setattr(duties.DutiesMixin, name, wrong)
+    monkeypatch.setattr(duties.ShardOwnershipMixin, name, wrong)
     with pytest.raises(AssertionError):
         for seed in range(60):
             play(seed)
--- a/tests/test_fleet_cli.py
+++ b/tests/test_fleet_cli.py
@@ -111,7 +111,7 @@
     for n in ("k1", "k2"):
         w.kill(n)
     w.run(7000)
-    with fleet_stand.Thread({"k3": admin.of_keeper(fleet_stand.Shell(w, "k3"), lambda: w.now)}) as t:
+    with fleet_stand.Thread({"k3": admin.controller_admin(fleet_stand.Shell(w, "k3"), lambda: w.now)}) as t:
         code, out, err = call(capsys, "fleet-status", f"--node={t.address('k3')}")
         assert code == 1 and err == "no leader\n"
         assert "leader none" in out and "no leader is heard" in out
@@ -144,7 +144,7 @@
 @pytest.fixture
 def proxy():
     m, now = fleet_stand.relay()
-    a = admin.of_proxy(type("Shell", (), {"member": m})(), lambda: now)
+    a = admin.proxy_admin(type("Shell", (), {"member": m})(), lambda: now)
     with fleet_stand.Thread({"p1": a}) as t:
         yield m, now, t.address("p1")
 
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -29,7 +29,7 @@
     urgency = 5
 
 
-class Keeper(claims.ClaimMixin, keep.KeepMixin, comeback.ComebackMixin, member.Member):
+class Controller(claims.ClaimMixin, keep.KeepMixin, comeback.ComebackMixin, member.Member):
     """Only what keys need of a rostrum; a held claim is handed to the house."""
 
     TICKS = ("tick_claims", "tick_keep")
@@ -73,7 +73,7 @@
         return {"name": name, "seat": seat, "role": "rostrum", "zone": "z", "addr": seat, "http": seat}
 
     def start(self, seat):
-        k = Keeper(self, seat.split("-")[0], seat)
+        k = Controller(self, seat.split("-")[0], seat)
         k.book = self.log[-1][1]
         k.join_ranges()
         return k
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -33,7 +33,7 @@
     me = member.Me(
         "house", name, n.seat, "ledger", "z", n.addr, "", w.seeds, 0, voters="ledgers", founders=[]
     )
-    n.member = role.Keeper(me, 7, w.now, None, identifiers.Term(), w.placement())
+    n.member = role.Controller(me, 7, w.now, None, identifiers.Term(), w.placement())
     n.life += 1
     w.tick(n, n.life)
 
@@ -221,7 +221,7 @@
     n = w.nodes[others(w)[0]]
     held, promised = n.disk.load().ok_value
     for began, votes in ((w.now, False), (w.now - timing.VOTE_REFUSAL, True)):
-        keeper = role.Keeper(n.member.me, 7, w.now, held, promised, w.placement(), began=began)
+        keeper = role.Controller(n.member.me, 7, w.now, held, promised, w.placement(), began=began)
         assert keeper.may_vote() is votes
 
 
@@ -237,7 +237,7 @@
     voter, other = (w.nodes[k].member for k in others(w))
     name = other.me.name
     me = member.Me("house", name, "twin", "ledger", "z", "10.9.9.9:1", "", w.seeds, 0, voters="ledgers")
-    twin = role.Keeper(me, 7, w.now, other.copy(), other.promised, w.placement())
+    twin = role.Controller(me, 7, w.now, other.copy(), other.promised, w.placement())
     terms = [other.next_term(), twin.next_term()]
     assert terms[0].count == terms[1].count and terms[0] != terms[1]
     voter.heard_at = voter.now - timing.ELECTION_TIMEOUT
--- a/tests/test_route_scenarios.py
+++ b/tests/test_route_scenarios.py
@@ -182,6 +182,6 @@
 
 
 def test_two_holders_within_the_lease_are_found(monkeypatch):
-    monkeypatch.setattr(duties.DutiesMixin, "ripe", lambda self, i: True)
-    monkeypatch.setattr(duties.DutiesMixin, "duty_leased", lambda self: True)
+    monkeypatch.setattr(duties.ShardOwnershipMixin, "ripe", lambda self, i: True)
+    monkeypatch.setattr(duties.ShardOwnershipMixin, "duty_leased", lambda self: True)
     assert any(rules_broken("core-cut", seed) == {"holders"} for seed in range(1, 13))
