--- a/basaltport/admin/fleet_cli.py
+++ b/basaltport/admin/fleet_cli.py
@@ -146,7 +146,11 @@
         holds = f"holds fence {d['fence']}" if d["holds"] else "does not hold"
         print(f"{holds}; list of replicas read {age(d['list_age_ms'])}")
     section("unsettled", [{"reason": r} for r in d["unsettled"]], ["reason"])
-    section("keepers", d["keepers"], ["name", "zone", "addr", "http", "votes", "silent_ms"])
+    section(
+        "controllers",
+        d.get("controllers", d.get("keepers")),
+        ["name", "zone", "addr", "http", "votes", "silent_ms"],
+    )
     section("proxies", d["proxies"], ["name", "zone", "address", "silent_ms", "serial", "behind"])
     section("orders", d["orders"], ["replica", "goal", "for", "kind", "item", "state", "age_ms", "since_ms"])
 
--- a/basaltport/consensus/snapshot_transfer.py
+++ b/basaltport/consensus/snapshot_transfer.py
@@ -1,5 +1,7 @@
 """Whole copies of the agreed state and the entries behind it, for members that lack too much."""
 
+import typing
+
 import basaltport.consensus.book as book
 import basaltport.messages as messages
 
@@ -7,7 +9,7 @@
 class SnapshotTransferMixin:
     """Gives and takes copies; what is in force never goes back by one."""
 
-    def copy(self):
+    def copy(self) -> dict[str, typing.Any]:
         return {"book": self.book, "tail": list(self.tail)}
 
     def hear_fetch(self, src, m):
--- a/basaltport/controller/node.py
+++ b/basaltport/controller/node.py
@@ -1,4 +1,4 @@
-"""The keeper: agreement among keepers, operators' asks, placement and the feed to proxies in one reducer."""
+"""The controller: consensus, operators' requests, placement and the feed to proxies in one reducer."""
 
 import basaltport.consensus.node as node
 import basaltport.consensus.voting_policy as voting_policy
--- a/basaltport/fleet/publish.py
+++ b/basaltport/fleet/publish.py
@@ -84,7 +84,7 @@
 
 
 class PublishNeeds(typing.Protocol):
-    """What `PublishMixin` needs of the keeper it is part of; see `consensus`."""
+    """What `PublishMixin` needs of the controller it is part of; see `consensus`."""
 
     me: member.Me
     now: identifiers.Millis
@@ -119,7 +119,7 @@
     """`rows_known`: the list was read since this one leads."""
 
     def publish_start(self) -> None:
-        """Begin without proxies, and act when this keeper begins to lead and when it ends."""
+        """Begin without proxies, and act when this controller begins to lead and when it ends."""
         self.listeners.leadership_started.append(self.publish_to_new_proxies)
         self.listeners.leadership_ended.append(self.redirect_proxies)
         self.forget_proxies()
@@ -140,26 +140,26 @@
         self.placement.changed.clear()
 
     def publish_to_new_proxies(self, votes: Row) -> None:
-        """This keeper leads: proxies are told anew."""
+        """This controller leads: proxies are told anew."""
         self.publish_clear()
 
     def redirect_proxies(self) -> None:
-        """This keeper leads no more: proxies look for the next leader at once."""
-        m = messages.Redirect(self.promised, NOBODY, "", self.keepers())
+        """This controller leads no more: proxies look for the next leader at once."""
+        m = messages.Redirect(self.promised, NOBODY, "", self.controllers())
         for p in self.proxies.values():
             self.send(p.address, m)
         self.publish_clear()
 
-    def keepers(self) -> list[str]:
-        """The addresses of all keepers."""
+    def controllers(self) -> list[str]:
+        """The addresses of all controllers."""
         return sorted(r["addr"] for r in self.book["roster"].values())
 
     def hear_follow(self, src: str, m: messages.Follow) -> None:
-        """A proxy tells what it has; one that asks a keeper that does not lead is sent on."""
+        """A proxy tells what it has; one that asks a controller that does not lead is sent on."""
         if not self.leading:
             x = self.leader if self.hears_leader() else None
             gen, name, addr = (x.gen, x.name, x.addr) if x else (self.promised, NOBODY, "")
-            self.send(m.address, messages.Redirect(gen, name, addr, self.keepers()))
+            self.send(m.address, messages.Redirect(gen, name, addr, self.controllers()))
             return
         p = self.proxies.get(m.name)
         if p is None:
@@ -223,13 +223,13 @@
         entries, copy = self.book_for(p.serial)
         full, base, rows, gone = self.rows_for(p.seen)
         n = self.feed_n if self.rows_known else -1
-        keepers = self.keepers()
-        fresh = p.told != keepers
+        controllers = self.controllers()
+        fresh = p.told != controllers
         m = messages.Update(
             self.promised,
             self.me.name if fresh else NOBODY,
             self.me.addr if fresh else "",
-            keepers if fresh else [],
+            controllers if fresh else [],
             self.book["serial"],
             entries,
             copy,
@@ -240,7 +240,7 @@
             gone,
             len(self.proxies),
         )
-        p.serial, p.seen, p.told = self.book["serial"], n, keepers
+        p.serial, p.seen, p.told = self.book["serial"], n, controllers
         size = text.size(entries) + text.size(copy) + ROW_BYTES * len(rows)
         p.sent(size, self.now)
         self.send(p.address, m)
--- a/basaltport/query_api/log_node.py
+++ b/basaltport/query_api/log_node.py
@@ -1,16 +1,21 @@
-"""The log node of the older JSON API: all its mixins in one reducer."""
+"""A node with a disk (role `ledger` of the command line): keeps the agreed log and may lead."""
+
+import typing
 
 import basaltport.admin.desk as desk
 import basaltport.consensus.follower_lease as follower_lease
 import basaltport.consensus.node as node
 import basaltport.consensus.voting_policy as voting_policy
+import basaltport.identifiers as identifiers
+import basaltport.member as member
+import basaltport.messages as messages
 import basaltport.query_api.cell.cell as cell
 import basaltport.query_api.failure_detection.duties as duties
 import basaltport.query_api.failure_detection.ring as ring
 
 
-SNAPSHOT_EVERY = 400
-RETRY = 1000
+SNAPSHOT_EVERY_ENTRIES = 400
+DISK_RETRY_MS = 1000
 
 
 class LogNode(
@@ -21,32 +26,44 @@
     follower_lease.LeaseGrantMixin,
     node.ConsensusNode,
 ):
-    """`held`: what the disk had; `promised`: the highest term that is on it."""
+    """The reducer of a node with a disk, from all its mixins."""
 
     TICKS = ("tick_disk", "tick_hello", "tick_cells", "tick_elect", "tick_lead", "tick_ring", "tick_desk")
 
-    def __init__(self, me, seed, now, held=None, promised=node.NO_TERM):
+    def __init__(
+        self,
+        me: member.Me,
+        seed: int,
+        now: identifiers.Millis,
+        held: dict[str, typing.Any] | None = None,
+        promised: identifiers.Term = node.NO_TERM,
+    ) -> None:
+        """`held` and `promised`: what the disk gave back, if anything; `seed` is that of all chance."""
         node.ConsensusNode.__init__(self, me, seed, now, voting_policy.ALL_MEMBERS, held, promised)
         self.cell_start()
         self.ring_start()
-        self.desk_start()
-        self.kept_at = self.book["serial"]
-        self.retry_at = now
-        self.listeners.state_applied.append(self.keep_snapshot)
+        desk.DeskMixin.desk_start(self)
+        self.snapshot_index = self.book["serial"]
+        self.disk_retry_at = now
+        self.listeners.state_applied.append(self.write_snapshot_if_due)
         self.listeners.leader_tick.append(self.keep_duties)
 
-    def tick_disk(self):
-        """A disk that failed is tried again with a whole snapshot."""
-        if self.bad and not self.after and self.now - self.retry_at >= RETRY:
-            self.retry_at = self.now
-            self.write([], whole=self.copy())
+    def tick_disk(self) -> None:
+        """Try a disk that failed again, with a whole snapshot."""
+        if self.bad and not self.after and self.now - self.disk_retry_at >= DISK_RETRY_MS:
+            self.disk_retry_at = self.now
+            self.write_snapshot()
 
-    def keep_snapshot(self):
-        """Now and then the log begins anew behind a snapshot."""
-        if self.book["serial"] - self.kept_at < SNAPSHOT_EVERY:
+    def write_snapshot_if_due(self) -> None:
+        """Write a snapshot once enough entries were applied since the last one."""
+        if self.book["serial"] - self.snapshot_index < SNAPSHOT_EVERY_ENTRIES:
             return
-        self.kept_at = self.book["serial"]
+        self.snapshot_index = self.book["serial"]
+        self.write_snapshot()
+
+    def write_snapshot(self) -> None:
+        """Ask for a snapshot in place of the log."""
         self.write([], whole=self.copy())
 
-    def hear_leaving(self, src, m):
+    def hear_leaving(self, src: str, message: messages.Leaving) -> None:
         """Only query nodes use replicas."""
--- a/basaltport/scale/cli.py
+++ b/basaltport/scale/cli.py
@@ -120,7 +120,7 @@
     ss, calm, fs = check(fv)
     fs += [finding(a, "not a flag") for a in args]
     if fv.dir and os.path.isdir(fv.dir) and os.listdir(fv.dir):
-        fs.append(finding("dir", "not empty: keepers would go on from what it holds"))
+        fs.append(finding("dir", "not empty: controllers would go on from what it holds"))
     for f in fs:
         print(f"{f['place']}: {f['finding']}", file=sys.stderr)
     if fs:
--- a/tests/relay_stand.py
+++ b/tests/proxy_stand.py
@@ -3,10 +3,10 @@
 import asyncio
 
 import basaltport.identifiers as identifiers
-import basaltport.proxy.server as shell
-import basaltport.proxy.header_names as words
+import basaltport.proxy.server as server
+import basaltport.proxy.header_names as header_names
 
-W = words.Words()
+W = header_names.Words()
 BOUND = 20
 
 
@@ -130,7 +130,7 @@
 
 
 class Front:
-    """A relay's shell on 127.0.0.1, told its replicas and configuration directly; no keeper. `settings`: more
+    """A relay's shell on 127.0.0.1, told its replicas and configuration directly; no leader. `settings`: more
     of them."""
 
     def __init__(self, replicas, doc=None, timings=None, settings=None):
@@ -154,7 +154,7 @@
             "timings": self.timings,
             **self.settings,
         }
-        self.shell = shell.ProxyServer(s, W)
+        self.shell = server.ProxyServer(s, W)
         self.task = asyncio.get_running_loop().create_task(self.shell.run())
         async with asyncio.timeout(BOUND):
             while not hasattr(self.shell, "prober"):
--- a/tests/test_mutations.py
+++ b/tests/test_mutations.py
@@ -13,7 +13,7 @@
 import basaltport.consensus.read_index as read_index
 import basaltport.consensus.replication as replication
 import basaltport.consensus.timing as timing
-import basaltport.query_api.query_proxy.model_readiness as routine
+import basaltport.query_api.query_proxy.model_readiness as model_readiness
 import basaltport.simulation.query_api.standins.backend as backend
 import basaltport.simulation.query_api.scenarios.scenarios as scenarios
 import basaltport.query_api.query_proxy.claims as claims
@@ -133,9 +133,9 @@
 
 READ_INDEX = read_index.ReadIndexMixin
 CASES = [
-    ("once-only", "replicas-sick", 1, [(routine.ReadinessMixin, "resend", _resend_all)]),
+    ("once-only", "replicas-sick", 1, [(model_readiness.ReadinessMixin, "resend", _resend_all)]),
     ("refusal", "replicas-sick", 1, [(dispatch.DispatchMixin, "was_broken", _broken_is_refused)]),
-    ("final-word", "replicas-dark", 1, [(routine.ReadinessMixin, "timed_out", _ask_first)]),
+    ("final-word", "replicas-dark", 1, [(model_readiness.ReadinessMixin, "timed_out", _ask_first)]),
     (
         "final-word",
         "replicas-sick",
--- a/tests/test_relay_clients.py
+++ b/tests/test_proxy_clients.py
@@ -6,7 +6,7 @@
 import pytest
 
 import tests.proxy_stand as stand
-import tests.test_relay_wire as wire
+import tests.test_proxy_wire as wire
 
 W = stand.W
 
