--- a/basaltport/query_api/failure_detection/role_owners.py
+++ b/basaltport/query_api/failure_detection/role_owners.py
@@ -5,7 +5,7 @@
 
 import typing
 
-import basaltport.consensus.seat as seat
+import basaltport.consensus.voting_policy as voting_policy
 import basaltport.identifiers as identifiers
 import basaltport.log_events as log_events
 import basaltport.rendezvous as rendezvous
@@ -43,6 +43,7 @@
     now: identifiers.Millis
     since: int
     fresh: bool
+    policy: voting_policy.VotingPolicy
     tip_book: Row
     left: set[str]
     lapse: dict[str, int]
@@ -62,7 +63,7 @@
     def note(self, number: int, **fields: object) -> None:
         """Log an event."""
 
-    def append(self, op: Row) -> object:
+    def append(self, op: Row) -> identifiers.LogIndex:
         """Propose an entry."""
 
 
@@ -81,7 +82,9 @@
         """Propose owners for the roles that have none or lost theirs."""
         if not self.settled() or self.pending("duty"):
             return
-        if self.now < self.since + (ALL_NODES_REPLACED_WAIT_MS if self.fresh else seat.LEASE):
+        if self.now < self.since + (
+            ALL_NODES_REPLACED_WAIT_MS if self.fresh else self.policy.follower_lease_ms
+        ):
             return
         state = self.tip_book
         if state["manifest"] is None:
--- a/basaltport/query_api/log_node.py
+++ b/basaltport/query_api/log_node.py
@@ -2,9 +2,9 @@
 
 import typing
 
-import basaltport.consensus.elect as elect
-import basaltport.consensus.lead as lead
-import basaltport.consensus.seat as seat
+import basaltport.consensus.follower_lease as follower_lease
+import basaltport.consensus.node as node
+import basaltport.consensus.voting_policy as voting_policy
 import basaltport.identifiers as identifiers
 import basaltport.member as member
 import basaltport.query_api.admin.leader_requests as leader_requests
@@ -18,19 +18,16 @@
 
 
 class LogNode(
-    elect.ElectMixin,
-    lead.LeadMixin,
     role_owners.RoleOwnerMixin,
     ring.RingMixin,
     cell.CellMixin,
     leader_requests.LeaderRequestsMixin,
-    seat.SeatMixin,
-    member.Member,
+    follower_lease.LeaseGrantMixin,
+    node.ConsensusNode,
 ):
     """The reducer of a node with a disk, from all its mixins."""
 
     TICKS = ("tick_disk", "tick_hello", "tick_cells", "tick_elect", "tick_lead", "tick_ring", "tick_desk")
-    durable = True
 
     def __init__(
         self,
@@ -38,18 +35,17 @@
         seed: int,
         now: identifiers.Millis,
         held: dict[str, typing.Any] | None = None,
-        promised: identifiers.Term = seat.NONE,
+        promised: identifiers.Term = node.NO_TERM,
     ) -> None:
         """`held` and `promised`: what the disk gave back, if anything; `seed` is that of all chance."""
-        member.Member.__init__(self, me, seed, now)
-        lead.LeadMixin.lead_clear(self)
-        elect.ElectMixin.elect_start(self)
+        node.ConsensusNode.__init__(self, me, seed, now, voting_policy.ALL_MEMBERS, held, promised)
         self.cell_start()
         self.ring_start()
         self.desk_start()
-        seat.SeatMixin.seat_start(self, held, promised)
         self.snapshot_index = self.book["serial"]
         self.disk_retry_at = now
+        self.listeners.state_applied.append(self.write_snapshot_if_due)
+        self.listeners.leader_tick.append(self.keep_duties)
 
     def tick_disk(self) -> None:
         """Try a disk that failed again, with a whole snapshot."""
@@ -57,7 +53,7 @@
             self.disk_retry_at = self.now
             self.write_snapshot()
 
-    def in_force(self) -> None:
+    def write_snapshot_if_due(self) -> None:
         """Write a snapshot once enough entries were applied since the last one."""
         if self.book["serial"] - self.snapshot_index < SNAPSHOT_EVERY_ENTRIES:
             return
@@ -66,4 +62,4 @@
 
     def write_snapshot(self) -> None:
         """Ask for a snapshot in place of the log."""
-        self.write([], whole=seat.SeatMixin.copy(self))
+        self.write([], whole=self.copy())
--- a/basaltport/query_api/query_node.py
+++ b/basaltport/query_api/query_node.py
@@ -4,7 +4,8 @@
 import typing
 
 import basaltport.configuration.rules as rules
-import basaltport.consensus.seat as seat
+import basaltport.consensus.node as node
+import basaltport.consensus.voting_policy as voting_policy
 import basaltport.events as common_events
 import basaltport.identifiers as identifiers
 import basaltport.log_events as log_events
@@ -44,8 +45,7 @@
     cell.CellMixin,
     ring.RingMixin,
     operator_requests.OperatorRequestsMixin,
-    seat.SeatMixin,
-    member.Member,
+    node.FollowerNode,
 ):
     """The reducer of a query node, from all its mixins.
 
@@ -69,7 +69,7 @@
 
     def __init__(self, me: member.Me, seed: int, now: identifiers.Millis) -> None:
         """`seed` is that of all its chance."""
-        member.Member.__init__(self, me, seed, now)
+        node.FollowerNode.__init__(self, me, seed, now, voting_policy.ALL_MEMBERS)
         self.rules = rules.compile(None, 0)
         self.rules_version = NO_VERSION
         self.compiled_from: dict[str, typing.Any] | None = None
@@ -90,9 +90,9 @@
         self.desk_start()
         self.key_claims_start()
         self.key_holder_start()
-        seat.SeatMixin.seat_start(self)
+        self.listeners.state_applied.append(self.use_agreed_state)
 
-    def in_force(self) -> None:
+    def use_agreed_state(self) -> None:
         """Newer agreed state is in force here: compile its configuration, take over zones and keys."""
         version = self.book["mserial"]
         if version != self.rules_version:
