--- /dev/null
+++ b/basaltport/proxy/head_timeout.py
@@ -0,0 +1,82 @@
+"""Ends clients' connections on which a request's head has begun and stops coming.
+
+The library has one limit for connections at rest and none for heads: to it, an incomplete head is rest. The
+limit here is `header_wait_ms` of the configuration, from the head's first bytes to its end.
+"""
+
+import asyncio
+import collections.abc
+
+import aiohttp.web
+
+import basaltport.proxy.upstream_pool as upstream_pool
+
+AGAIN_S = 0.05
+"""Seconds until the next look at a connection whose bytes lie unread when its time is over."""
+MS = 1000
+
+
+class HeadTimeoutConnection(aiohttp.web.RequestHandler):
+    """A client's connection. A timer runs only while a part of a head is there."""
+
+    __slots__ = ("_server", "_head_timer")
+
+    def __init__(self, server: "HeadTimeoutServer", **options: object) -> None:
+        """`options`: as of the library's server."""
+        super().__init__(server, loop=asyncio.get_running_loop(), **options)  # type: ignore[arg-type]
+        self._server = server
+        self._head_timer: asyncio.TimerHandle | None = None
+
+    def data_received(self, data: bytes) -> None:
+        """Bytes came: the rest of a head stops its timer, the beginning of one starts it."""
+        awaits_head = self._waiter is not None and not self._messages
+        super().data_received(data)
+        if self._messages:
+            self._stop_timer()
+        elif awaits_head and self._head_timer is None and data.strip():
+            wait_ms = self._server.header_wait_ms()
+            if wait_ms > 0:
+                self._start_timer(wait_ms / MS)
+
+    def connection_lost(self, error: BaseException | None) -> None:
+        """The connection ended."""
+        self._stop_timer()
+        super().connection_lost(error)
+
+    def _start_timer(self, seconds: float) -> None:
+        self._head_timer = asyncio.get_running_loop().call_later(seconds, self._time_over)
+
+    def _stop_timer(self) -> None:
+        if self._head_timer is not None:
+            self._head_timer.cancel()
+            self._head_timer = None
+
+    def _time_over(self) -> None:
+        """Ends the connection, unless the rest of the head lies unread because this process stood still."""
+        self._head_timer = None
+        if self.transport is None:
+            return
+        if upstream_pool.unread(self.transport):
+            self._start_timer(AGAIN_S)
+        else:
+            self.force_close()
+
+
+class HeadTimeoutServer(aiohttp.web.Server):
+    """The library's server, with a limit on heads."""
+
+    def __init__(
+        self,
+        handler: collections.abc.Callable[
+            [aiohttp.web.BaseRequest], collections.abc.Awaitable[aiohttp.web.StreamResponse]
+        ],
+        header_wait_ms: collections.abc.Callable[[], int],
+        **options: object,
+    ) -> None:
+        """`header_wait_ms`: the limit now in force, 0 for none; `options`: as of the library's server."""
+        super().__init__(handler, **options)  # type: ignore[arg-type]
+        self.header_wait_ms = header_wait_ms
+
+    def __call__(self) -> HeadTimeoutConnection:
+        """A connection for a client that was accepted."""
+        return HeadTimeoutConnection(self, **self._kwargs)
--- a/basaltport/proxy/server.py
+++ b/basaltport/proxy/server.py
@@ -28,6 +28,7 @@
 import basaltport.proxy.attempt_outcome as attempt_outcome
 import basaltport.proxy.node as node
 import basaltport.proxy.upstream as upstream
+import basaltport.proxy.head_timeout as head_timeout
 import basaltport.proxy.header_names as header_names
 import basaltport.wires as wires
 
@@ -117,8 +118,9 @@
     async def listen(self) -> None:
         """Takes clients, and the platform's probes."""
         loop = asyncio.get_running_loop()
-        self.server = aiohttp.web.Server(
+        self.server = head_timeout.HeadTimeoutServer(
             self.serve,
+            lambda: self.member.table.limits.get("header_wait_ms", 0),
             request_factory=self.request,
             handler_cancellation=True,
             access_log=None,
