--- a/basaltport/proxy/head_timeout.py
+++ b/basaltport/proxy/head_timeout.py
@@ -6,6 +6,7 @@
 
 import asyncio
 import collections.abc
+import typing
 
 import aiohttp.web
 
@@ -21,9 +22,9 @@
 
     __slots__ = ("_server", "_head_timer")
 
-    def __init__(self, server: "HeadTimeoutServer", **options: object) -> None:
-        """`options`: as of the library's server."""
-        super().__init__(server, loop=asyncio.get_running_loop(), **options)  # type: ignore[arg-type]
+    def __init__(self, server: "HeadTimeoutServer", options: dict[str, typing.Any]) -> None:
+        """`options`: as of the library's own connection."""
+        super().__init__(server, loop=asyncio.get_running_loop(), **options)
         self._server = server
         self._head_timer: asyncio.TimerHandle | None = None
 
@@ -63,20 +64,14 @@
 
 
 class HeadTimeoutServer(aiohttp.web.Server):
-    """The library's server, with a limit on heads."""
-
-    def __init__(
-        self,
-        handler: collections.abc.Callable[
-            [aiohttp.web.BaseRequest], collections.abc.Awaitable[aiohttp.web.StreamResponse]
-        ],
-        header_wait_ms: collections.abc.Callable[[], int],
-        **options: object,
-    ) -> None:
-        """`header_wait_ms`: the limit now in force, 0 for none; `options`: as of the library's server."""
-        super().__init__(handler, **options)  # type: ignore[arg-type]
+    """The library's server; `limit_heads` is called before it takes clients."""
+
+    header_wait_ms: collections.abc.Callable[[], int]
+
+    def limit_heads(self, header_wait_ms: collections.abc.Callable[[], int]) -> None:
+        """`header_wait_ms`: gives the limit now in force, 0 for none."""
         self.header_wait_ms = header_wait_ms
 
     def __call__(self) -> HeadTimeoutConnection:
         """A connection for a client that was accepted."""
-        return HeadTimeoutConnection(self, **self._kwargs)
+        return HeadTimeoutConnection(self, self._kwargs)
--- a/basaltport/proxy/server.py
+++ b/basaltport/proxy/server.py
@@ -65,7 +65,7 @@
     """A proxy as a process: what its reducer decides is done on sockets."""
 
     end: asyncio.Event
-    server: aiohttp.web.Server
+    server: head_timeout.HeadTimeoutServer
     probe: aiohttp.web.Server
     listener: asyncio.Server
     prober: asyncio.Server
@@ -120,7 +120,6 @@
         loop = asyncio.get_running_loop()
         self.server = head_timeout.HeadTimeoutServer(
             self.serve,
-            lambda: self.member.table.limits.get("header_wait_ms", 0),
             request_factory=self.request,
             handler_cancellation=True,
             access_log=None,
@@ -131,6 +130,7 @@
             lingering_time=LINGER_S,
             read_bufsize=upstream.READ_BUFFER,
         )
+        self.server.limit_heads(lambda: self.member.table.limits.get("header_wait_ms", 0))
         self.probe = aiohttp.web.Server(self.readiness, access_log=None)
         host, port = self.settings["listen"].rsplit(":", 1)
         self.listener = await loop.create_server(self.server, host, int(port), backlog=BACKLOG)
