--- a/basaltport/proxy/header_names.py
+++ b/basaltport/proxy/header_names.py
@@ -2,6 +2,9 @@
 
 import dataclasses
 
+TOP = 10**8
+DIGITS = 11
+
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Words:
@@ -19,3 +22,10 @@
     priority: str = "Basaltport-Priority"
     replica: str = "Basaltport-Replica"
     ready_path: str = "/ready"
+
+
+def number(raw: str | None, top: int = TOP) -> int:
+    """A whole number of a header, or -1."""
+    if not raw or not raw.isascii() or not raw.isdigit() or len(raw) > DIGITS:
+        return -1
+    return min(int(raw), top)
--- a/basaltport/proxy/node.py
+++ b/basaltport/proxy/node.py
@@ -185,10 +185,10 @@
     # the steps of routes' programs
 
     def do_deadline(self, arrived: request.Request, ev: events.Arrived) -> Refusal | None:
-        """The smaller of the client's deadline and the route's."""
+        """The smaller of the client's deadline and the route's, from when the request's head was there."""
         longest = arrived.route.deadline
         left = longest if ev.deadline < 0 else min(ev.deadline, longest)
-        arrived.until = identifiers.Millis(ev.now + left)
+        arrived.until = identifiers.Millis(ev.now - ev.body_ms + left)
         return None if arrived.until > self.now else Refusal("no time is left", COME_BACK)
 
     def do_share(self, arrived: request.Request, ev: events.Arrived) -> Refusal | None:
--- a/basaltport/proxy/server.py
+++ b/basaltport/proxy/server.py
@@ -42,9 +42,7 @@
 LINGER_S = 2.0
 BACKLOG = 1024
 PROBE_BACKLOG = 128
-TOP = 10**8
 TOP_TOKENS = 10**7
-DIGITS = 11
 OK = 200
 BAD_REQUEST = 400
 UNREADY = 503
@@ -54,13 +52,6 @@
 Reload = collections.abc.Callable[[], collections.abc.Sequence[str] | None]
 
 
-def number(raw: str | None, top: int = TOP) -> int:
-    """A whole number of a header, or -1."""
-    if not raw or not raw.isascii() or not raw.isdigit() or len(raw) > DIGITS:
-        return -1
-    return min(int(raw), top)
-
-
 class ProxyServer:
     """A proxy as a process: what its reducer decides is done on sockets."""
 
@@ -250,8 +241,9 @@
         answer_claim: memory_limit.Claim,
     ) -> aiohttp.web.StreamResponse:
         """The same, with the claims that it may use."""
-        deadline = number(request.headers.get(self.words.deadline))
-        until = identifiers.steady() + (deadline if deadline >= 0 else request_body.LONGEST_MS)
+        deadline = header_names.number(request.headers.get(self.words.deadline))
+        began = identifiers.steady()
+        until = began + (deadline if deadline >= 0 else request_body.LONGEST_MS)
         limit = self.member.table.limits.get("body_bytes") or BODY_BYTES
         try:
             body = await request_body.read(request, limit, deadline, body_claim)
@@ -265,7 +257,7 @@
         sink = response.Sink(request, body, self.words, lambda: self.stopping, answer_claim)
         self.sinks[request_id] = sink
         try:
-            self.step(self.arrived(request_id, request, deadline))
+            self.step(self.arrived(request_id, request, began))
             return await response_delivery.deliver(request, await sink.done, until - identifiers.steady())
         except asyncio.CancelledError:
             self.step(events.Left(identifiers.steady(), request_id))
@@ -273,19 +265,20 @@
         finally:
             self.sinks.pop(request_id, None)
 
-    def arrived(self, request_id: int, request: aiohttp.web.BaseRequest, deadline: int) -> events.Arrived:
-        """What the reducer is told of a request."""
-        names, heads = self.words, request.headers
+    def arrived(self, request_id: int, request: aiohttp.web.BaseRequest, began: float) -> events.Arrived:
+        """What the reducer is told of a request. `began`: when its head was there, in ms."""
+        names, heads, now = self.words, request.headers, identifiers.steady()
         tokens = heads.get(names.tokens, "").partition(",")[0]
         return events.Arrived(
-            identifiers.steady(),
+            now,
             request_id,
             heads.get("Host", ""),
             request.raw_path.partition("?")[0],
             identifiers.Item(heads.get(names.model, "")),
-            deadline,
-            number(tokens, TOP_TOKENS),
+            header_names.number(heads.get(names.deadline)),
+            header_names.number(tokens, TOP_TOKENS),
             heads.get(names.prefix, "").rpartition(",")[0],
+            int(now - began),
         )
 
     def unread(
