--- a/basaltport/proxy/events.py
+++ b/basaltport/proxy/events.py
@@ -8,8 +8,8 @@
 
 @dataclasses.dataclass(slots=True)
 class Arrived:
-    """A client's request, read and whole. `deadline`: ms that the client waits, or -1; `body_ms`: how long its
-    body took to read, which counts against all deadlines."""
+    """A client's request, read and whole. `deadline`: ms that the client waits, or -1; `body_ms`: how long
+    its body took to read, which counts against all deadlines."""
 
     now: identifiers.Millis
     request: int
