--- a/basaltport/controller/admin_api.py
+++ b/basaltport/controller/admin_api.py
@@ -1,4 +1,4 @@
-"""The product's own HTTP for operators of keepers and proxies: GETs under /basaltport/, off the state."""
+"""The product's own HTTP for operators of controllers and proxies: GETs under /basaltport/, off the state."""
 
 import asyncio
 import importlib
@@ -19,7 +19,7 @@
 
 class Admin:
     """`pages`: {name: function of the query -> (status, document, headers)}; `samples`: () -> families as of
-    keeper.view.samples."""
+    controller.view.samples."""
 
     def __init__(self, pages, samples):
         self.pages = pages
@@ -96,12 +96,12 @@
             yield f
 
 
-# keepers
+# controllers
 
 
 def controller_admin(shell, now=identifiers.steady):
-    """For a KeeperShell. What the leader alone knows is asked of it: 307 to it; 503 where none is known, with
-    what this keeper knows itself, as `?own=1` gives it at any time."""
+    """For a ControllerServer. What only the leader knows is asked of it: 307 to it; 503 with none, and
+    what this controller knows itself, as `?own=1` gives it at any time."""
 
     def listed():
         return shell.listed_at
@@ -130,7 +130,7 @@
 
 
 def proxy_admin(shell, now=identifiers.steady):
-    """For a RelayShell."""
+    """For a ProxyServer."""
 
     def explain(query):
         if not query.get("host") or not query.get("path", "").startswith("/"):
--- a/basaltport/local_fleet/port.py
+++ b/basaltport/local_fleet/port.py
@@ -1,4 +1,4 @@
-"""A keeper's port to the stand-ins: their list, orders, reports, and the operators' HTTP."""
+"""A controller's port to the stand-ins: their list, orders, reports, and the operators' HTTP."""
 
 import dataclasses
 import hashlib
@@ -12,7 +12,7 @@
 import basaltport.controller.admin_pages as pages
 import basaltport.local_fleet.stand_ins as stand_ins
 import basaltport.placement.effects as effects
-import basaltport.query_api.replica_client.adapter as adapter
+import basaltport.http_client as http_client
 
 CALL_S = 1.0
 CONFIGURATION_PATH = "/configuration"
@@ -23,7 +23,7 @@
 
 
 class Controller(typing.Protocol):
-    """What this port needs of the keeper's shell."""
+    """What this port needs of the controller's shell."""
 
     async def ask(self, verb: str, body: Document) -> tuple[int, Document]:
         """Answer an operator's ask with a status and a document."""
@@ -38,7 +38,7 @@
 
 
 class Port:
-    """The platform's part for `KeeperShell`, in the product's own words."""
+    """The platform's part for `ControllerServer`, in the product's own words."""
 
     def __init__(self, settings: PortSettings) -> None:
         """Keep the addresses; `start` opens the connections."""
@@ -51,11 +51,11 @@
         """Listen for operators on behalf of `shell`."""
         self.shell = shell
         timeout = aiohttp.ClientTimeout(total=CALL_S)
-        self.session = adapter.once_session(timeout=timeout)
+        self.session = http_client.once_session(timeout=timeout)
         app = aiohttp.web.Application()
         app.router.add_put(CONFIGURATION_PATH, self.put)
         app.router.add_get(CONFIGURATION_PATH, self.get)
-        app.router.add_route("*", pages.PREFIX + "{page}", pages.Pages(shell, "keeper").serve)
+        app.router.add_route("*", pages.PREFIX + "{page}", pages.Pages(shell, "controller").serve)
         self.runner = aiohttp.web.AppRunner(app, access_log=None, shutdown_timeout=1)
         await self.runner.setup()
         host, port = self.settings.operators.split(":")
@@ -96,7 +96,7 @@
         return _response(*await self._shell().ask("configure", body))
 
     async def get(self, request: aiohttp.web.Request) -> aiohttp.web.Response:
-        """The configuration in force, as a majority of keepers confirms it."""
+        """The configuration in force, as a majority of controllers confirms it."""
         return _response(*await self._shell().ask("configuration", {}))
 
     def _shell(self) -> Controller:
--- a/basaltport/local_fleet/stand_ins.py
+++ b/basaltport/local_fleet/stand_ins.py
@@ -8,13 +8,13 @@
 
 import basaltport.local_fleet.engine as engine
 import basaltport.local_fleet.messages as messages
-import basaltport.proxy.header_names as words
+import basaltport.proxy.header_names as header_names
 
 ORDER_PATH = "/order"
 REPORT_PATH = "/report"
 LISTING_PATH = "/replicas"
 STAMP = "stand-in"
-HEADERS = words.Words()
+HEADERS = header_names.Words()
 
 
 class StandIn:
@@ -50,13 +50,13 @@
         }
 
     async def order(self, request: aiohttp.web.Request) -> aiohttp.web.Response:
-        """A keeper's order to load or unload."""
+        """A controller's order to load or unload."""
         body = await request.json()
         order = engine.Order(body["kind"], body["model"], body["adapter"])
         return aiohttp.web.json_response({"outcome": self.engine.order(order, time.monotonic())})
 
     async def report(self, request: aiohttp.web.Request) -> aiohttp.web.Response:
-        """What this replica holds, for a keeper."""
+        """What this replica holds, for a controller."""
         return aiohttp.web.json_response(self.engine.report())
 
     async def answer(self, request: aiohttp.web.Request) -> aiohttp.web.StreamResponse:
@@ -83,7 +83,7 @@
 
 
 class StandIns:
-    """All stand-in replicas of a process, with the list that keepers read."""
+    """All stand-in replicas of a process, with the list that controllers read."""
 
     def __init__(self, settings: messages.StandInSettings) -> None:
         """Make the replicas; `start` opens their ports."""
--- a/basaltport/proxy/events.py
+++ b/basaltport/proxy/events.py
@@ -3,12 +3,13 @@
 import dataclasses
 
 import basaltport.identifiers as identifiers
-import basaltport.proxy.attempt_outcome as outcomes
+import basaltport.proxy.attempt_outcome as attempt_outcome
 
 
 @dataclasses.dataclass(slots=True)
 class Arrived:
-    """A client's request, read and whole. `deadline`: ms that the client waits, or -1."""
+    """A client's request, read and whole. `deadline`: ms that the client waits, or -1; `body_ms`: how long
+    its body took to read, which counts against all deadlines."""
 
     now: identifiers.Millis
     request: int
@@ -18,6 +19,7 @@
     deadline: int
     tokens: int = 0
     prefix: str = ""
+    body_ms: int = 0
 
 
 @dataclasses.dataclass(slots=True)
@@ -49,7 +51,7 @@
 
     now: identifiers.Millis
     attempt: int
-    result: outcomes.Result
+    result: attempt_outcome.Result
 
 
 @dataclasses.dataclass(slots=True)
--- a/basaltport/query_api/replica_client/adapter.py
+++ b/basaltport/query_api/replica_client/adapter.py
@@ -1,4 +1,4 @@
-"""The one adapter to replicas: dispatches, polls and orders over HTTP, and what is proven of each."""
+"""The one client of replicas: attempts, polls and orders over HTTP, and what is proven of each."""
 
 import asyncio
 import collections.abc
@@ -8,37 +8,31 @@
 import typing
 
 import aiohttp
-import aiohttp.abc
 import aiohttp.tracing
 
-import basaltport.events as events
+import basaltport.http_client as http_client
+import basaltport.query_api.events as events
 import basaltport.query_api.replica_client.pieces as pieces
 import basaltport.sockets as sockets
 
-DISPATCH = "Basaltport-Dispatch"
-SERIAL = "Basaltport-Serial"
-DEADLINE = "Basaltport-Deadline-Ms"
-RAN = "Basaltport-Ran"
-KEEP = 65_536
+ATTEMPT_HEADER = "Basaltport-Dispatch"
+VERSION_HEADER = "Basaltport-Serial"
+DEADLINE_HEADER = "Basaltport-Deadline-Ms"
+RAN_HEADER = "Basaltport-Ran"
+KEPT_RESPONSE_BYTES = 65_536
+MS_PER_SECOND = 1000
+CALL_TIMEOUT_MS = 1000
+KEEPALIVE_S = 10
+NO_CONNECTION = "no-wire"
+WITHHELD = "withheld"
+OTHER_ATTEMPT = "the reply is of another dispatch"
 
 
 Document = dict[str, typing.Any]
+# The configuration version for an attempt that may be written, else None.
 Guard = collections.abc.Callable[[str], int | None]
 
 
-class SessionOptions(typing.TypedDict, total=False):
-    """The options of `aiohttp.ClientSession` that are used."""
-
-    connector: aiohttp.BaseConnector
-    timeout: aiohttp.ClientTimeout
-    cookie_jar: aiohttp.abc.AbstractCookieJar
-    skip_auto_headers: collections.abc.Iterable[str]
-    auto_decompress: bool
-    max_line_size: int
-    max_field_size: int
-    read_bufsize: int
-
-
 class ConnectorOptions(typing.TypedDict, total=False):
     """The options of `aiohttp.TCPConnector` that are used."""
 
@@ -47,15 +41,8 @@
     socket_factory: collections.abc.Callable[[sockets.AddressInfo], socket.socket]
 
 
-def once_session(**options: typing.Unpack[SessionOptions]) -> aiohttp.ClientSession:
-    """A session that never sends a request twice by itself."""
-    session = aiohttp.ClientSession(**options)
-    session._retry_connection = False
-    return session
-
-
 class WithheldError(Exception):
-    """The lease, serial or mark was no longer good right before the write."""
+    """The lease or the configuration version was no longer good right before the write."""
 
 
 class Sink(typing.Protocol):
@@ -77,8 +64,10 @@
 
 
 class Result(typing.NamedTuple):
-    """What came of a dispatch: done, refused, broken, late or cut; the status, or for `refused` the serial
-    seen; a detail; and the reply to keep, if any."""
+    """What came of an attempt: done, refused, broken, late or cut (see `events.AttemptEnded`).
+
+    `number`: the status, or for `refused` the configuration version that the replica has seen; `kept`: the
+    response to keep for the client's key, if any."""
 
     outcome: str
     number: int
@@ -86,11 +75,11 @@
     kept: Document | None = None
 
 
-class Guarded(aiohttp.TCPConnector):
-    """Asks the guard once a wire is there, before a byte of the query goes out."""
+class GuardedConnector(aiohttp.TCPConnector):
+    """Asks the guard once a connection is there, before a byte of the request goes out."""
 
     def __init__(self, guard: Guard, **options: typing.Unpack[ConnectorOptions]) -> None:
-        """`guard` gives the serial for a dispatch that may be written, else None."""
+        """`guard` gives the configuration version for an attempt that may be written, else None."""
         super().__init__(**options)
         self.guard = guard
         self.written: set[str] = set()
@@ -102,104 +91,125 @@
         timeout: aiohttp.ClientTimeout,
     ) -> aiohttp.connector.Connection:
         """A connection on which the request may be written; WithheldError where it may not."""
-        wire = await super().connect(req, traces, timeout)
-        dispatch = req.headers.get(DISPATCH)
-        if dispatch is None:
-            return wire
-        serial = self.guard(dispatch)
-        if serial is None:
-            wire.release()
-            raise WithheldError(dispatch)
-        req.headers[SERIAL] = str(serial)
-        self.written.add(dispatch)
-        return wire
-
-
-class Adapter:
+        connection = await super().connect(req, traces, timeout)
+        attempt_id = req.headers.get(ATTEMPT_HEADER)
+        if attempt_id is None:
+            return connection
+        version = self.guard(attempt_id)
+        if version is None:
+            connection.release()
+            raise WithheldError(attempt_id)
+        req.headers[VERSION_HEADER] = str(version)
+        self.written.add(attempt_id)
+        return connection
+
+
+class ReplicaClient:
     """All requests of a node to replicas."""
 
     def __init__(self, guard: Guard) -> None:
-        """`guard`: see `Guarded`."""
+        """`guard`: see `GuardedConnector`."""
         self.guard = guard
 
     async def start(self) -> None:
         """Make the session."""
-        self.wires = Guarded(self.guard, limit=0, keepalive_timeout=10, socket_factory=sockets.factory)
-        self.session = once_session(connector=self.wires, auto_decompress=False)
+        self.connector = GuardedConnector(
+            self.guard, limit=0, keepalive_timeout=KEEPALIVE_S, socket_factory=sockets.factory
+        )
+        self.session = http_client.once_session(connector=self.connector, auto_decompress=False)
 
     async def stop(self) -> None:
         """Close all connections."""
         await self.session.close()
 
-    async def ask(
-        self, method: str, url: str, body: Document | None = None, lapse: int = 1000
+    async def call(
+        self, method: str, url: str, body: Document | None = None, timeout_ms: int = CALL_TIMEOUT_MS
     ) -> tuple[bool, Document]:
         """(ok, answer) of a poll or an order."""
         try:
-            async with asyncio.timeout(lapse / 1000):
-                async with self.session.request(method, url, json=body) as r:
-                    doc = await r.json(content_type=None)
+            async with asyncio.timeout(timeout_ms / MS_PER_SECOND):
+                async with self.session.request(method, url, json=body) as response:
+                    doc = await response.json(content_type=None)
                     if not isinstance(doc, dict):
                         return False, {}
-                    return r.status == http.HTTPStatus.OK, doc
-        except (aiohttp.ClientError, TimeoutError, ValueError, OSError) as e:
-            return False, {"error": type(e).__name__}
+                    return response.status == http.HTTPStatus.OK, doc
+        except (aiohttp.ClientError, TimeoutError, ValueError, OSError) as error:
+            return False, {"error": type(error).__name__}
 
-    async def run(self, d: events.Dispatch, sink: Sink) -> Result:
-        """What came of a dispatch, whose answer went to `sink`."""
+    async def run(self, attempt: events.StartAttempt, sink: Sink) -> Result:
+        """What came of an attempt, whose response went to `sink`."""
         try:
-            async with asyncio.timeout(d.timeout / 1000):
-                return await self.once(d, sink)
+            async with asyncio.timeout(attempt.timeout_ms / MS_PER_SECOND):
+                return await self.send(attempt, sink)
         except TimeoutError:
             if sink.begun:
                 await sink.cut()
                 return Result("cut", 0, "time ended in mid-reply")
-            late = d.dispatch in self.wires.written
-            return Result("late", 0, "") if late else Result("refused", 0, "no-wire")
+            if self.was_written(attempt):
+                return Result("late", 0, "")
+            return Result("refused", 0, NO_CONNECTION)
         except WithheldError:
-            return Result("refused", 0, "withheld")
+            return Result("refused", 0, WITHHELD)
         except aiohttp.ClientConnectorError:
-            return Result("refused", 0, "no-wire")
-        except (aiohttp.ClientError, OSError, ValueError) as e:
+            return Result("refused", 0, NO_CONNECTION)
+        except (aiohttp.ClientError, OSError, ValueError) as error:
             if sink.begun:
                 await sink.cut()
-                return Result("cut", 0, type(e).__name__)
-            written = d.dispatch in self.wires.written
-            return Result("broken" if written else "refused", 0, type(e).__name__)
+                return Result("cut", 0, type(error).__name__)
+            return Result("broken" if self.was_written(attempt) else "refused", 0, type(error).__name__)
         finally:
-            self.wires.written.discard(d.dispatch)
-
-    async def once(self, d: events.Dispatch, sink: Sink) -> Result:
-        """Send a dispatch and pass its answer on; errors of the connection are raised."""
-        heads = {DISPATCH: d.dispatch, SERIAL: str(d.serial), DEADLINE: str(d.deadline)}
-        async with self.session.post(f"{d.url}/run", json=d.body, headers=heads) as r:
-            if r.headers.get(DISPATCH) != d.dispatch:
-                return Result("broken", r.status, "the reply is of another dispatch")
-            if r.headers.get(RAN) == "no":
-                doc = await r.json(content_type=None)
-                return Result("refused", int(r.headers.get(SERIAL, 0)), str(doc.get("error", "")))
-            if r.content_type == "application/x-ndjson":
-                return await self.stream(d, r, sink)
-            raw = await r.read()
-            doc = json.loads(raw)
-            if not isinstance(doc, dict) or doc.get("dispatch") != d.dispatch:
-                return Result("broken", r.status, "the reply is of another dispatch")
-            await sink.whole(r.status, doc)
-            kept = {k: doc[k] for k in ("reply", "error") if k in doc}
-            return Result("done", r.status, "", kept if d.keep and len(raw) <= KEEP else None)
-
-    async def stream(self, d: events.Dispatch, r: aiohttp.ClientResponse, sink: Sink) -> Result:
-        """Only an end line that counts all pieces ends a stream cleanly."""
-        ps = pieces.Pieces(d.dispatch)
+            self.connector.written.discard(attempt.attempt_id)
+
+    def was_written(self, attempt: events.StartAttempt) -> bool:
+        """Whether any of an attempt may have gone out."""
+        return attempt.attempt_id in self.connector.written
+
+    async def send(self, attempt: events.StartAttempt, sink: Sink) -> Result:
+        """Send a request and pass its response on; errors of the connection are raised."""
+        headers = {
+            ATTEMPT_HEADER: attempt.attempt_id,
+            VERSION_HEADER: str(attempt.configuration_version),
+            DEADLINE_HEADER: str(attempt.deadline_ms),
+        }
+        async with self.session.post(f"{attempt.url}/run", json=attempt.body, headers=headers) as response:
+            if response.headers.get(ATTEMPT_HEADER) != attempt.attempt_id:
+                return Result("broken", response.status, OTHER_ATTEMPT)
+            if response.headers.get(RAN_HEADER) == "no":
+                doc = await response.json(content_type=None)
+                version = int(response.headers.get(VERSION_HEADER, 0))
+                return Result("refused", version, str(doc.get("error", "")))
+            if response.content_type == "application/x-ndjson":
+                return await self.relay_stream(attempt, response, sink)
+            return await self.relay_whole(attempt, response, sink)
+
+    async def relay_whole(
+        self, attempt: events.StartAttempt, response: aiohttp.ClientResponse, sink: Sink
+    ) -> Result:
+        """Pass on a response in one piece."""
+        raw = await response.read()
+        doc = json.loads(raw)
+        if not isinstance(doc, dict) or doc.get("dispatch") != attempt.attempt_id:
+            return Result("broken", response.status, OTHER_ATTEMPT)
+        await sink.whole(response.status, doc)
+        kept = {key: doc[key] for key in ("reply", "error") if key in doc}
+        is_kept = attempt.keep_response and len(raw) <= KEPT_RESPONSE_BYTES
+        return Result("done", response.status, "", kept if is_kept else None)
+
+    async def relay_stream(
+        self, attempt: events.StartAttempt, response: aiohttp.ClientResponse, sink: Sink
+    ) -> Result:
+        """Pass on a stream. Only an end line that counts all pieces ends it cleanly."""
+        stream = pieces.PieceReader(attempt.attempt_id)
         kept: list[typing.Any] = []
         size = 0
-        async for raw in r.content:
-            line = ps.take(json.loads(raw))
+        async for raw in response.content:
+            line = stream.take(json.loads(raw))
             if line.kind is pieces.Kind.END:
                 await sink.end(line.number)
-                return Result("done", r.status, "", {"pieces": kept} if d.keep and size <= KEEP else None)
+                is_kept = attempt.keep_response and size <= KEPT_RESPONSE_BYTES
+                return Result("done", response.status, "", {"pieces": kept} if is_kept else None)
             await sink.piece(line.number, line.piece)
             size += len(raw)
-            if d.keep and size <= KEEP:
+            if attempt.keep_response and size <= KEPT_RESPONSE_BYTES:
                 kept.append(line.piece)
         raise aiohttp.ClientPayloadError("no end line")
--- a/basaltport/scale/part.py
+++ b/basaltport/scale/part.py
@@ -1,4 +1,4 @@
-"""One process of a scale run: a keeper, a proxy or many hollow nodes, with a port for the run's questions."""
+"""One process of a scale run: controller, proxy or many hollow nodes, with a port for the run's questions."""
 
 import asyncio
 import cProfile
@@ -7,10 +7,10 @@
 import signal
 import sys
 
-import basaltport.controller.server as keeper
+import basaltport.controller.server as controller_server
 import basaltport.identifiers as identifiers
-import basaltport.proxy.server as relay
-import basaltport.proxy.header_names as words
+import basaltport.proxy.server as server
+import basaltport.proxy.header_names as header_names
 import basaltport.scale.count as count
 import basaltport.scale.hollow as hollow
 import basaltport.scale.size as size_
@@ -69,7 +69,7 @@
         return r and {"models": {m: list(a) for m, a in r["models"].items()}, "busy": False, "orders": 0}
 
 
-class Controller(keeper.ControllerServer):
+class Controller(controller_server.ControllerServer):
     """Notes when it first held its lead, by generation."""
 
     def __init__(self, settings, port):
@@ -124,7 +124,7 @@
 class ProxyPart(Followers):
     def __init__(self, conf):
         self.mark = hollow.Marks()
-        self.shell = relay.ProxyServer(conf["settings"], words.Words())
+        self.shell = server.ProxyServer(conf["settings"], header_names.Words())
         step = self.shell.wires.heard
 
         def heard(src, msg):
@@ -174,7 +174,7 @@
         return {"at": int(identifiers.steady())}
 
 
-ROLES = {"keeper": ControllerPart, "proxy": ProxyPart, "hollow": HollowPart}
+ROLES = {"controller": ControllerPart, "proxy": ProxyPart, "hollow": HollowPart}
 
 
 class Questions:
--- a/basaltport/simulation/processes.py
+++ b/basaltport/simulation/processes.py
@@ -5,6 +5,7 @@
 import typing
 
 import basaltport.events as events
+import basaltport.handlers as handlers
 import basaltport.identifiers as identifiers
 import basaltport.simulation.links as links
 import basaltport.simulation.virtual_disk as virtual_disk
@@ -62,7 +63,7 @@
     def carry_out(self, node: P, effects: collections.abc.Iterable[object]) -> None:
         """Calls the method that is named after each effect's class."""
         for effect in effects:
-            getattr(self, "do_" + type(effect).__name__.lower())(node, effect)
+            handlers.require(self, "do_", type(effect))(node, effect)
 
     def give(self, node: P, life: int, event: Event) -> None:
         """Delivers an event, with the time of its delivery, if the process is still the same one.
--- a/basaltport/simulation/query_api/world/world.py
+++ b/basaltport/simulation/query_api/world/world.py
@@ -3,15 +3,16 @@
 import random
 
 import basaltport.events as events
+import basaltport.query_api.events as query_events
 import basaltport.frames as frames
 import basaltport.identifiers as identifiers
-import basaltport.query_api.log_node as ledger
+import basaltport.query_api.log_node as log_node
 import basaltport.member as member
 import basaltport.simulation.query_api.standins.backend as backend
 import basaltport.simulation.query_api.world.senders as senders
 import basaltport.simulation.processes as processes
-import basaltport.simulation.virtual_disk as virtual_disk
-import basaltport.query_api.query_proxy.role as rostrum
+import basaltport.simulation.virtual_disk as simdisk
+import basaltport.query_api.query_node as query_node
 
 TICK = 25
 
@@ -79,7 +80,7 @@
         self.nodes[name] = n
         self.by_addr[n.addr] = n
         if role == "ledger":
-            n.disk = virtual_disk.VirtualDisk(random.Random(self.rng.random()))
+            n.disk = simdisk.VirtualDisk(random.Random(self.rng.random()))
         return n
 
     def move(self, name):
@@ -112,9 +113,9 @@
         )
         seed = self.rng.getrandbits(64)
         if n.role == "ledger":
-            n.member = ledger.LogNode(me, seed, self.now, held, promised)
+            n.member = log_node.LogNode(me, seed, self.now, held, promised)
         else:
-            n.member = rostrum.QueryNode(me, seed, self.now)
+            n.member = query_node.QueryNode(me, seed, self.now)
         n.life += 1
         n.frozen = False
         n.stopping = False
@@ -133,7 +134,7 @@
         if n.disk is None:
             return
         if disk:
-            n.disk = virtual_disk.VirtualDisk(random.Random(self.rng.random()))
+            n.disk = simdisk.VirtualDisk(random.Random(self.rng.random()))
             n.seat = ""
             return
         n.disk.power_loss()
@@ -173,8 +174,12 @@
         self.later(TICK, self.tick, name, life)
 
     def step(self, n, ev):
-        if isinstance(ev, events.Replied) and ev.outcome in ("late", "broken") and ev.detail != "abandoned":
-            self.log("fate", node=n.name, query=ev.dispatch.rsplit(".", 1)[0], outcome=ev.outcome)
+        if (
+            isinstance(ev, query_events.AttemptEnded)
+            and ev.outcome in ("late", "broken")
+            and ev.detail != "abandoned"
+        ):
+            self.log("fate", node=n.name, query=ev.attempt_id.rsplit(".", 1)[0], outcome=ev.outcome)
         self.carry_out(n, n.member.step(ev))
 
     def leader(self):
--- a/basaltport/simulation/routes/control_losses.py
+++ b/basaltport/simulation/routes/control_losses.py
@@ -28,7 +28,7 @@
     if chosen == gone:
         chosen = others[0]
     rest = [name for name in (*others, leader, new) if name not in (chosen, gone)]
-    return [chosen, *play.rng.sample(rest, world.size.keepers // 2 - 1)]
+    return [chosen, *play.rng.sample(rest, world.size.controllers // 2 - 1)]
 
 
 def lose(play: control_play.ControlPlay, first: str, new: str, gone: str) -> list[str]:
--- a/basaltport/simulation/routes/control_play.py
+++ b/basaltport/simulation/routes/control_play.py
@@ -42,7 +42,7 @@
 
     def follower(self) -> str:
         """Some controller that does not lead."""
-        return self.keeper()
+        return self.controller()
 
     def list_reader(self) -> str:
         """The controller that read the list last."""
--- a/basaltport/simulation/routes/control_world.py
+++ b/basaltport/simulation/routes/control_world.py
@@ -29,7 +29,7 @@
         self.holders_seen: tuple[tuple[str, int], ...] = ()
         self.list_reader = ""
         super().__init__(seed, preset, packed)
-        self.catch_up_ms = CATCH_UP_MS[self.size.keepers]
+        self.catch_up_ms = CATCH_UP_MS[self.size.controllers]
         self.later(0, self.look_at_holders)
 
     # what is seen
--- a/basaltport/simulation/routes/fleet_world.py
+++ b/basaltport/simulation/routes/fleet_world.py
@@ -60,9 +60,9 @@
         self.slots, self.cold_rate = replicas.SLOTS, 8.0
         self.touch_start()
         self.shown_document: dict[tuple[str, int], typing.Any] = {}
-        super().__init__(seed, size.keepers, True, packed)
+        super().__init__(seed, size.controllers, True, packed)
         self.start = self.now
-        self.core = {f"k{i + 1}" for i in range(size.keepers)}
+        self.core = {f"k{i + 1}" for i in range(size.controllers)}
         self.core_upset = self.now
         self.replicas_start()
         self.attempts_start()
--- a/basaltport/simulation/routes/mayhem.py
+++ b/basaltport/simulation/routes/mayhem.py
@@ -74,9 +74,9 @@
     if len(up(world)) < len(world.nodes) - UNTOUCHED_PROCESSES:
         return
     name = pick(up(world), first)
-    keeper = world.nodes[name].disk is not None
-    wiped = keeper and second < WIPED_SHARE and len(up(world, "k")) == len(world.core) and world.calm
-    world.restart(name, keeper and second < POWER_SHARE, wiped, after=ms)
+    controller = world.nodes[name].disk is not None
+    wiped = controller and second < WIPED_SHARE and len(up(world, "k")) == len(world.core) and world.calm
+    world.restart(name, controller and second < POWER_SHARE, wiped, after=ms)
 
 
 def freeze(world: fleet_world.World, first: float, second: float, ms: int) -> None:
--- a/basaltport/simulation/routes/nodes.py
+++ b/basaltport/simulation/routes/nodes.py
@@ -54,7 +54,7 @@
     arrives; `lossy` is the share of messages that are lost; with `holding` a cut holds back what would
     arrive. `packed` sends each message as a frame's bytes."""
 
-    def __init__(self, seed: int, keepers: int = 3, boot: bool = True, packed: bool = False) -> None:
+    def __init__(self, seed: int, controllers: int = 3, boot: bool = True, packed: bool = False) -> None:
         """So many controllers, which start at random within `BOOT_SPREAD_MS` if they are to `boot`."""
         super().__init__(seed)
         self.packed = packed
@@ -66,7 +66,7 @@
         self.notes: list[Note] = []
         self.holding = True
         self.bytes = 0
-        for i in range(keepers):
+        for i in range(controllers):
             self.add(f"k{i + 1}")
         self.seeds = [node.addr for node in self.nodes.values()][:SEEDS]
         for name in list(self.nodes) if boot else ():
@@ -220,13 +220,13 @@
         """A process agreed to another state than others did, or to an older one than before."""
         raise AssertionError((node.name, state["serial"]))
 
-    def keepers(self) -> list[Node]:
+    def controllers(self) -> list[Node]:
         """Controllers that run."""
         return [node for node in self.nodes.values() if node.disk and node.member]
 
     def up(self) -> list[Node]:
         """Controllers that run and are not frozen."""
-        return [node for node in self.keepers() if not node.frozen]
+        return [node for node in self.controllers() if not node.frozen]
 
     def leader(self) -> str | None:
         """The name of the one that holds the leader's lease, or None."""
--- a/basaltport/simulation/routes/plays.py
+++ b/basaltport/simulation/routes/plays.py
@@ -125,7 +125,7 @@
         """Some proxy that runs."""
         return self.rng.choice([node.name for node in self.world.proxies() if node.member])
 
-    def keeper(self, led: bool = False) -> str:
+    def controller(self, led: bool = False) -> str:
         """Some controller; the leader only with `led`."""
         names = sorted(self.world.core)
         return self.rng.choice([name for name in names if led or name != self.leader()])
--- a/basaltport/simulation/routes/scenes.py
+++ b/basaltport/simulation/routes/scenes.py
@@ -198,8 +198,8 @@
 
 @scenario
 def core_cut(play: Play) -> None:
-    """The leader is cut off from all others, with bytes held; then another keeper, with bytes lost."""
-    for name, hold in ((play.leader(), True), (play.keeper(), False)):
+    """The leader is cut off from all others, with bytes held; then another controller, with bytes lost."""
+    for name, hold in ((play.leader(), True), (play.controller(), False)):
         play.world.split([name], hold)
         play.world.run(500)
         play.world.configure()
@@ -238,7 +238,7 @@
 
 @scenario
 def keepers_rolled(play: Play) -> None:
-    """Each keeper is stopped in order, a leader hands over, and started again."""
+    """Each controller is stopped in order, a leader hands over, and started again."""
     for name in sorted(play.world.core):
         play.world.stop_controller(name, 1000)
         play.world.run(500)
@@ -287,11 +287,11 @@
 
 @scenario
 def power_loss(play: Play) -> None:
-    """Right after an acknowledgement all lose power, and one keeper its disk."""
+    """Right after an acknowledgement all lose power, and one controller its disk."""
     world = play.world
     world.must(lambda: world.evacuate("y"))
     world.must(world.configure)
-    wiped = play.keeper(True)
+    wiped = play.controller(True)
     for name in list(world.nodes):
         disk = world.nodes[name].disk is not None
         world.restart(name, disk, name == wiped, after=play.rng.randrange(300, 1200))
@@ -300,7 +300,7 @@
 
 @scenario
 def keeper_replaced(play: Play) -> None:
-    """One after another, each keeper is replaced by an empty one at another address."""
+    """One after another, each controller is replaced by an empty one at another address."""
     for name in sorted(play.world.core):
         play.world.replace(name)
         play.world.run(7000)
--- a/tests/fleet_stand.py
+++ b/tests/fleet_stand.py
@@ -1,4 +1,4 @@
-"""Keepers and a proxy in a known state on virtual time, served over HTTP on 127.0.0.1 by a thread."""
+"""Controllers and a proxy in a known state on virtual time, served over HTTP on 127.0.0.1 by a thread."""
 
 import asyncio
 import random
@@ -11,8 +11,8 @@
 import basaltport.identifiers as identifiers
 import basaltport.member as member
 import basaltport.placement.machine as machine
-import basaltport.proxy.node as role
-import tests.keepers as keepers
+import basaltport.proxy.node as node
+import tests.controllers as controllers
 import tests.live as live
 import tests.proxy_stand as stand
 
@@ -36,7 +36,7 @@
     return d
 
 
-class World(keepers.World):
+class World(controllers.World):
     def placement(self):
         return machine.Placement(random.Random(1))
 
@@ -106,7 +106,7 @@
 
 
 class Fleet:
-    """Three keepers and a proxy that follows; one replica holds birch, and alder is wanted for a while."""
+    """Three controllers and a proxy that follows; one replica holds birch, and alder is wanted a while."""
 
     def __init__(self):
         self.w = w = World(1)
@@ -146,7 +146,7 @@
     """A proxy that knows four replicas of birch, each in another trouble, and one that is well."""
     me = member.Me("h", "p1", "p1-1", "proxy", "z1", "127.0.0.1:1", "", [], 0)
     now = identifiers.Millis(100_000)
-    m = role.ProxyNode(me, 1, now, {"retry_slack": 100}, 2)
+    m = node.ProxyNode(me, 1, now, {"retry_slack": 100}, 2)
     birch = {"birch": ["a1"]}
     rows = [row(f"r{k}", "z1", birch) for k in range(1, 7)]
     rows += [row("r7", "z2", {}, loading=["birch"]), row("r8", "z2", birch, state="draining")]
