--- a/basaltport/proxy/attempt.py
+++ b/basaltport/proxy/attempt.py
@@ -1,34 +1,46 @@
-"""Attempts at replicas: launched, watched, and what became of each."""
+"""Attempts at replicas: launched, watched for silence, and what becomes of their requests."""
 
 import typing
 
 import basaltport.identifiers as identifiers
-import basaltport.proxy.retry_budget as retry_budget
-import basaltport.proxy.retry_decision as retry_decision
+import basaltport.proxy.admission_queue as admission_queue
+import basaltport.proxy.attempt_outcome as attempt_outcome
 import basaltport.proxy.events as events
 import basaltport.proxy.health as health
 import basaltport.proxy.interfaces as interfaces
-import basaltport.proxy.attempt_outcome as attempt_outcome
+import basaltport.proxy.load_balancing as load_balancing
+import basaltport.proxy.model_readiness as model_readiness
+import basaltport.proxy.replica_table as replica_table
 import basaltport.proxy.request as request
+import basaltport.proxy.retry_budget as retry_budget
+import basaltport.proxy.retry_decision as retry_decision
+import basaltport.proxy.routing as routing
 
 Outcome = attempt_outcome.Outcome
-UNSENT = 6
+MOST_UNSENT = 6
 """Connections that may fail for one request."""
-ARRIVALS = 4
+MOST_SENT = 4
 """Attempts that may reach replicas for one request, and one more."""
-SOON = 150
-ABSENT = 1000
-REFUSED = 60
-QUIET = 350
-QUIET_RUNS = 5
-STALL = 1500
-STALL_GAPS = 2
-LEAST = 120
+RETRY_AFTER_MS = 150
+"""When the client of a refused request may come back."""
+ABSENT_MS = 1000
+"""For how long an item is not asked of a replica that does not hold it."""
+REFUSED_MS = 60
+"""The same for one that was full."""
+SILENCE_MS = 350
+"""Silence of a replica that is no longer taken for work, before the first bytes of an answer."""
+SILENCE_FACTOR = 5
+"""The same, in times to first bytes of its service."""
+STREAM_SILENCE_MS = 1500
+"""The same within a stream."""
+STREAM_SILENCE_FACTOR = 2
+"""The same, in gaps that the route's streams may have."""
+LEAST_TIME_MS = 120
+"""With less time left no attempt is begun."""
 LEAST_URGENT = 9
-MS = 1000
 BAD_GATEWAY = 502
 GATEWAY_TIMEOUT = 504
-WHY = {
+REASONS = {
     Outcome.REFUSED: "refused by the replica",
     Outcome.ABSENT: "not held",
     Outcome.MOVED: "the replica is gone",
@@ -38,218 +50,269 @@
     Outcome.LATE: "the time is over",
 }
 
-if typing.TYPE_CHECKING:
-    Needs = interfaces.NodeInterface
-else:
-    Needs = object
 
+class RequestOwner(interfaces.FleetView, typing.Protocol):
+    """What attempts need of the node: the requests that they are for, and their ends.
+
+    `requests`: all that have no end yet; `queue`: those of them that wait; `tally`: ends of attempts by
+    outcome.
+    """
+
+    requests: dict[int, request.Request]
+    queue: admission_queue.AdmissionQueue
+    tally: dict[str, int]
+    is_ending: bool
+
+    def emit(self, effect: object) -> None:
+        """Add an effect of this step."""
 
-class AttemptMixin(Needs):
+    def want(self, items: dict[str, int]) -> None:
+        """Ask the placement for items, each with its demand."""
+
+    def forget(self, ended: request.Request) -> None:
+        """A request has its end."""
+
+    def reject(self, ended: request.Request, detail: str, retry_after_ms: int) -> None:
+        """End a request that goes to no replica any more, with a promise if it never ran."""
+
+    def fail(self, ended: request.Request, status: int, detail: str) -> None:
+        """End a request that may have run."""
+
+
+class AttemptTracker:
     """What is not proven refused may have run; only what can be repeated goes again."""
 
-    def attempts_start(self) -> None:
+    def __init__(
+        self,
+        node: RequestOwner,
+        balancer: load_balancing.LoadBalancer,
+        readiness: model_readiness.ModelReadiness,
+        budgets: retry_budget.RetryBudgets,
+    ) -> None:
         """No attempts yet."""
-        self.runs: dict[int, request.Run] = {}
-        self.run_n = 0
-        self.retries: dict[str, retry_budget.Retries] = {}
-
-    def retry_of(self, service: str) -> retry_budget.Retries:
-        """The budget of further attempts at a service."""
-        retries = self.retries.get(service)
-        if retries is None:
-            timings = self.timings
-            window = int(MS * timings["retry_window_s"])
-            retries = retry_budget.Retries(self.born, timings["retry_ratio"], window, timings["retry_slack"])
-            self.retries[service] = retries
-        return retries
-
-    def reserve(self, again: request.Request) -> None:
-        """A part of the budget is kept for a further arrival until it goes or is given up."""
-        if not again.reserved:
-            again.reserved = True
-            self.retry_of(again.service).reserved += 1
-
-    def release(self, again: request.Request) -> None:
-        """Gives back what was reserved."""
-        if again.reserved:
-            again.reserved = False
-            self.retry_of(again.service).reserved -= 1
-
-    def launch(self, waiting: request.Request, replica: str) -> None:
+        self.node = node
+        self.balancer = balancer
+        self.readiness = readiness
+        self.budgets = budgets
+        self.in_flight: dict[int, request.Attempt] = {}
+        self.last_id = 0
+
+    # the budget
+
+    def reserve_retry(self, sent: request.Request) -> None:
+        """Keep a part of the budget for a retry until it goes or is given up."""
+        if not sent.holds_retry:
+            sent.holds_retry = True
+            self.budgets.of(sent.service).reserved += 1
+
+    def release_retry(self, sent: request.Request) -> None:
+        """Give back what was reserved."""
+        if sent.holds_retry:
+            sent.holds_retry = False
+            self.budgets.of(sent.service).reserved -= 1
+
+    def has_budget(self, service: str) -> bool:
+        """Whether one more retry may be made at a service."""
+        return self.budgets.of(service).has_room(self.node.now, self.node.peers())
+
+    # an attempt's life
+
+    def launch(self, waiting: request.Request, replica: replica_table.ReplicaRow) -> None:
         """Send a request to a replica."""
-        replica_health = self.health_of(replica)
-        self.run_n += 1
-        run = request.Run(self.run_n, waiting, replica, self.now)
-        if waiting.arrivals:
-            self.release(waiting)
-            self.retry_of(waiting.service).spend(self.now)
-        waiting.run = run
-        self.runs[run.id] = run
-        replica_health.running += 1
-        replica_health.cold.sent.add(self.now)
-        route = waiting.route
-        self.emit(
+        now = self.node.now
+        self.last_id += 1
+        attempt = request.Attempt.begin(self.last_id, waiting, replica.replica_id, now)
+        if waiting.sent_attempts:
+            self.release_retry(waiting)
+            self.budgets.of(waiting.service).spend(now)
+        waiting.attempt = attempt
+        self.in_flight[attempt.id] = attempt
+        known = self.balancer.health.of(replica.replica_id)
+        known.running_attempts += 1
+        known.slow_start.sent.add(now)
+        self.node.emit(
             events.Attempt(
                 waiting.id,
-                run.id,
-                replica,
-                self.rows[replica]["address"],
-                waiting.until - self.now,
-                min(LEAST_URGENT, route.urgency),
-                route.repeatable(),
+                attempt.id,
+                replica.replica_id,
+                replica.address,
+                waiting.deadline - now,
+                min(LEAST_URGENT, waiting.route.urgency),
+                waiting.route.is_repeatable(),
             )
         )
 
-    def on_progress(self, ev: events.Progress) -> None:
+    def progressed(self, attempt_id: int) -> None:
         """Bytes of an answer came."""
-        run = self.runs.get(ev.attempt)
-        if run is None:
+        attempt = self.in_flight.get(attempt_id)
+        if attempt is None:
             return
-        run.last = self.now
-        self.health_of(run.replica).last = self.now
-        if not run.heard:
-            run.heard = self.now
-            self.took(run)
-
-    def on_ended(self, ev: events.Ended) -> None:
-        """An attempt ended."""
-        run = self.runs.pop(ev.attempt, None)
-        if run is None:
-            return
-        replica_health = self.health_of(run.replica)
-        replica_health.running = max(0, replica_health.running - 1)
-        result = ev.result
-        label = result.outcome.value
-        self.tally[label] = self.tally.get(label, 0) + 1
-        self.learn(run, replica_health, result)
-        sent = self.requests.get(run.request)
-        if sent is not None and sent.run is run:
-            self.settle(sent, run, result)
-        self.pump()
-
-    def learn(self, run: request.Run, of_replica: health.Health, result: attempt_outcome.Result) -> None:
+        now = self.node.now
+        known = self.balancer.health.of(attempt.replica_id)
+        attempt.last_byte_at = known.last_byte_at = now
+        if not attempt.first_byte_at:
+            attempt.first_byte_at = now
+            elapsed_ms = now - attempt.sent_at
+            known.first_bytes_after(elapsed_ms)
+            self.balancer.latency.add(attempt.service, elapsed_ms)
+
+    def ended(self, attempt_id: int, result: attempt_outcome.Result) -> bool:
+        """An attempt ended; whether it was one that is known here."""
+        attempt = self.in_flight.pop(attempt_id, None)
+        if attempt is None:
+            return False
+        known = self.balancer.health.of(attempt.replica_id)
+        known.running_attempts = max(0, known.running_attempts - 1)
+        label, tally = result.outcome.value, self.node.tally
+        tally[label] = tally.get(label, 0) + 1
+        self.learn(attempt, known, result)
+        sent = self.node.requests.get(attempt.request_id)
+        if sent is not None and sent.attempt is attempt:
+            self.finish(sent, attempt, result)
+        return True
+
+    def learn(
+        self, attempt: request.Attempt, known: health.ReplicaHealth, result: attempt_outcome.Result
+    ) -> None:
         """What an attempt's end tells of its replica, whether or not its request is still here."""
-        ours = run.aborted in (request.Aborted.CLIENT_LEFT, request.Aborted.PROCESS_ENDS)
+        now = self.node.now
+        ours = attempt.stopped_for in (request.StopReason.CLIENT_LEFT, request.StopReason.PROCESS_ENDS)
         match result.outcome:
             case Outcome.DONE:
-                of_replica.good(self.now)
+                known.succeeded()
             case Outcome.REFUSED:
-                of_replica.absent[run.item] = identifiers.Millis(self.now + REFUSED)
+                known.missing_until[attempt.item] = identifiers.Millis(now + REFUSED_MS)
             case Outcome.ABSENT:
-                of_replica.absent[run.item] = identifiers.Millis(self.now + ABSENT)
+                known.missing_until[attempt.item] = identifiers.Millis(now + ABSENT_MS)
             case Outcome.MOVED:
-                of_replica.dead = True
+                known.is_replaced = True
             case Outcome.UNSENT | Outcome.CUT if not ours:
-                of_replica.bad(self.now)
+                known.failed(now)
             case Outcome.FAILED if result.status >= retry_decision.SERVER_ERROR:
-                of_replica.bad(self.now)
+                known.failed(now)
             case Outcome.BROKEN if not ours:
-                of_replica.bad(self.now)
-                self.after_timeout(run)
+                known.failed(now)
+                self.ask_after_timeout(attempt)
             case Outcome.LATE:
-                self.after_timeout(run)
+                self.ask_after_timeout(attempt)
+
+    def ask_after_timeout(self, attempt: request.Attempt) -> None:
+        """An attempt was lost without an answer: the placement is asked of its item."""
+        if attempt.item:
+            self.readiness.after_timeout(attempt.item)
+            self.node.want({attempt.item: 0})
 
-    def settle(self, sent: request.Request, run: request.Run, result: attempt_outcome.Result) -> None:
+    # what becomes of the request
+
+    def finish(self, sent: request.Request, attempt: request.Attempt, result: attempt_outcome.Result) -> None:
         """What becomes of a request whose attempt ended."""
-        self.release(sent)
+        self.release_retry(sent)
         if result.outcome is Outcome.UNSENT:
-            sent.unsent += 1
+            sent.unsent_attempts += 1
         else:
-            sent.arrivals += 1
-            sent.sent_to.add(run.replica)
+            sent.sent_attempts += 1
+            sent.reached_replicas.add(attempt.replica_id)
         if result.outcome is Outcome.DONE:
-            self.drop(sent)
+            self.node.forget(sent)
             return
-        sent.ran = sent.ran or result.outcome.may_have_run
-        sent.begun = sent.begun or result.outcome is Outcome.CUT
-        self.carry_out(retry_decision.decide(self.known(sent, result)), sent, run, result)
+        sent.may_have_run = sent.may_have_run or result.outcome.may_have_run
+        sent.is_answer_begun = sent.is_answer_begun or result.outcome is Outcome.CUT
+        move = retry_decision.decide(self.known(sent, result))
+        self.carry_out(move, sent, attempt, result)
 
     def known(self, sent: request.Request, result: attempt_outcome.Result) -> retry_decision.Known:
         """All that the decision depends on."""
-        within = sent.unsent <= UNSENT and sent.arrivals <= ARRIVALS
+        in_bounds = sent.unsent_attempts <= MOST_UNSENT and sent.sent_attempts <= MOST_SENT
         return retry_decision.Known(
             outcome=result.outcome,
             repeats=sent.route.repeats,
             status=result.status,
-            joins=result.resumes,
-            begun=sent.begun,
-            ran=sent.ran,
-            arrived=sent.arrivals > 0,
-            budget=self.retry_of(sent.service).room(self.now, self.peers()),
-            replicas=sent.spare(),
-            sends=within and not self.ending,
-            time=sent.until - self.now >= LEAST,
+            can_resume=result.resumes,
+            is_answer_begun=sent.is_answer_begun,
+            has_run=sent.may_have_run,
+            was_sent=sent.sent_attempts > 0,
+            has_budget=self.has_budget(sent.service),
+            has_replica=sent.may_reach_another(),
+            has_attempts=in_bounds and not self.node.is_ending,
+            has_time=sent.deadline - self.node.now >= LEAST_TIME_MS,
         )
 
     def carry_out(
         self,
         move: retry_decision.Move,
         sent: request.Request,
-        run: request.Run,
+        attempt: request.Attempt,
         result: attempt_outcome.Result,
     ) -> None:
         """Do what was decided."""
         match move:
             case retry_decision.Move.REPEAT | retry_decision.Move.RESUME:
-                self.requeue(sent, run)
+                self.requeue(sent, attempt)
             case retry_decision.Move.PASS:
-                self.drop(sent)
-                self.emit(events.Pass(sent.id, run.id))
+                self.node.forget(sent)
+                self.node.emit(events.Pass(sent.id, attempt.id))
             case retry_decision.Move.REFUSE:
-                self.refuse(sent, result.detail or WHY[result.outcome], SOON)
+                self.node.reject(sent, result.detail or REASONS[result.outcome], RETRY_AFTER_MS)
             case retry_decision.Move.FAIL:
-                broken = result.outcome in (Outcome.BROKEN, Outcome.FAILED)
-                status = BAD_GATEWAY if broken else GATEWAY_TIMEOUT
-                self.fail(sent, status, result.detail or WHY[result.outcome])
+                is_broken = result.outcome in (Outcome.BROKEN, Outcome.FAILED)
+                status = BAD_GATEWAY if is_broken else GATEWAY_TIMEOUT
+                self.node.fail(sent, status, result.detail or REASONS[result.outcome])
             case retry_decision.Move.CUT:
-                self.drop(sent)
-                self.emit(events.Cut(sent.id))
+                self.node.forget(sent)
+                self.node.emit(events.Cut(sent.id))
 
-    def requeue(self, sent: request.Request, run: request.Run) -> None:
+    def requeue(self, sent: request.Request, attempt: request.Attempt) -> None:
         """Back into the queue."""
-        if sent.arrivals:
-            self.reserve(sent)
-        sent.avoid.add(run.replica)
-        sent.run = None
-        self.waiting[sent.id] = sent
-
-    def fail(self, sent: request.Request, status: int, detail: str) -> None:
-        """The end of a request that may have run."""
-        self.drop(sent)
-        if sent.begun:
-            self.emit(events.Cut(sent.id))
-            return
-        self.emit(events.Close(sent.id, status, detail))
+        if sent.sent_attempts:
+            self.reserve_retry(sent)
+        sent.tried_replicas.add(attempt.replica_id)
+        sent.attempt = None
+        self.node.queue[sent.id] = sent
 
-    def watch(self) -> None:
+    # stopping
+
+    def stop(self, attempt: request.Attempt, reason: request.StopReason) -> None:
+        """Stop an attempt; its end is still told."""
+        attempt.stopped_for = reason
+        self.node.emit(events.Abort(attempt.id))
+
+    def stop_all(self) -> None:
+        """The process ends: attempts whose requests are still here are stopped."""
+        for attempt in self.in_flight.values():
+            if attempt.request_id in self.node.requests:
+                self.stop(attempt, request.StopReason.PROCESS_ENDS)
+
+    def stop_silent(self) -> None:
         """Replicas that say nothing: what can be repeated goes elsewhere, nothing new goes there."""
-        for run in list(self.runs.values()):
-            sent = self.requests.get(run.request)
-            if run.aborted or sent is None or sent.run is not run:
+        now = self.node.now
+        for attempt in list(self.in_flight.values()):
+            sent = self.node.requests.get(attempt.request_id)
+            if attempt.stopped_for or sent is None or sent.attempt is not attempt:
                 continue
-            of_replica = self.health_of(run.replica)
-            if self.now - max(run.last, of_replica.last) < self.patience(sent, run):
+            known = self.balancer.health.of(attempt.replica_id)
+            silent_ms = now - max(attempt.last_byte_at, known.last_byte_at)
+            if silent_ms < self.silence_limit_ms(sent, attempt):
                 continue
-            if self.now >= of_replica.down:
-                of_replica.bad(self.now)
-            if self.better_elsewhere(sent, run):
-                self.reserve(sent)
-                run.aborted = request.Aborted.SILENT
-                self.emit(events.Abort(run.id))
-
-    def better_elsewhere(self, sent: request.Request, run: request.Run) -> bool:
+            if now >= known.ejected_until:
+                known.failed(now)
+            if self.is_better_elsewhere(sent, attempt):
+                self.reserve_retry(sent)
+                self.stop(attempt, request.StopReason.SILENT_REPLICA)
+
+    def is_better_elsewhere(self, sent: request.Request, attempt: request.Attempt) -> bool:
         """Whether a request at a silent replica may go to another one, and can."""
         route = sent.route
-        if not route.repeatable() or len(sent.sent_to | {run.replica}) >= route.attempts:
+        reached = len(sent.reached_replicas | {attempt.replica_id})
+        if not route.is_repeatable() or reached >= route.attempts:
             return False
-        if sent.until - self.now < 2 * LEAST:
+        if sent.deadline - self.node.now < 2 * LEAST_TIME_MS:
             return False
-        if not self.retry_of(sent.service).room(self.now, self.peers()):
+        if not self.has_budget(sent.service):
             return False
-        return any(replica != run.replica for replica in self.usable(sent))
+        return any(replica.replica_id != attempt.replica_id for replica in self.balancer.usable(sent))
 
-    def patience(self, sent: request.Request, run: request.Run) -> float:
-        """Ms of silence from a replica as a whole that are no longer taken for work."""
-        if run.heard and sent.route.kind == "stream":
-            return max(STALL, STALL_GAPS * sent.route.gap)
-        return max(QUIET, QUIET_RUNS * self.typical(sent.service))
+    def silence_limit_ms(self, sent: request.Request, attempt: request.Attempt) -> float:
+        """How long a replica as a whole may say nothing before that is no longer taken for work."""
+        if attempt.first_byte_at and sent.route.kind is routing.Kind.STREAM:
+            return max(STREAM_SILENCE_MS, STREAM_SILENCE_FACTOR * sent.route.gap_target_ms)
+        return max(SILENCE_MS, SILENCE_FACTOR * self.balancer.latency.of(sent.service))
--- a/basaltport/proxy/health.py
+++ b/basaltport/proxy/health.py
@@ -1,52 +1,121 @@
-"""What this node's own attempts tell of a replica."""
+"""What this proxy's own attempts tell of each replica: passive health checks and outlier ejection."""
+
+import collections.abc
+import copy
 
 import basaltport.identifiers as identifiers
 import basaltport.proxy.retry_budget as retry_budget
 
-FIRST_MS = 250
-LONGEST_MS = 4000
-MOST_DOUBLINGS = 5
-KEPT_PART = 0.85
-LONG_AGO = identifiers.Millis(-(10**9))
-NOW = identifiers.Millis(0)
-
-
-class Health:
-    """`running`: attempts of this node. `down`: not used before then. `first`: smoothed ms to first bytes.
-    `last`: when it last sent anything. `dead`: another replica has its address. `absent`: until when items
-    are not asked of it."""
-
-    __slots__ = ("running", "down", "fails", "last", "first", "cold", "cold_until", "absent", "dead", "ok_at")
-
-    def __init__(self, cold: retry_budget.Cold) -> None:
-        """Nothing was sent to it yet. `cold`: what this node sends it while it is cold."""
-        self.running = 0
-        self.down = NOW
-        self.fails = 0
-        self.last = NOW
-        self.first = 0.0
-        self.cold = cold
-        self.cold_until = NOW
-        self.absent: dict[identifiers.Item, identifiers.Millis] = {}
-        self.dead = False
-        self.ok_at = LONG_AGO
-
-    def bad(self, now: identifiers.Millis) -> None:
-        """Out for a while that doubles with each failure in a row."""
-        out_for = min(LONGEST_MS, FIRST_MS << min(self.fails, MOST_DOUBLINGS))
-        self.down = identifiers.Millis(now + out_for)
-        self.fails += 1
-
-    def good(self, now: identifiers.Millis) -> None:
+EJECTION_MS = 250
+"""How long a first failure ejects a replica; each further one in a row doubles it."""
+EJECTION_LONGEST_MS = 4000
+EJECTION_MOST_DOUBLINGS = 5
+FIRST_BYTE_KEPT = 0.85
+"""The share of the old value in the smoothed time to first bytes."""
+NO_TIME = identifiers.Millis(0)
+
+
+class ReplicaHealth:
+    """What is known of one replica. Times are in ms on this proxy's clock.
+
+    `running_attempts`: of this proxy. `ejected_until`: not used before then. `failures`: in a row.
+    `last_byte_at`: when it last sent anything. `first_byte_ms`: smoothed time to first bytes, 0 if unknown.
+    `slow_start`: what this proxy sends it until `slow_start_until`. `missing_until`: until when items are not
+    asked of it. `is_replaced`: another replica has its address.
+    """
+
+    __slots__ = (
+        "running_attempts",
+        "ejected_until",
+        "failures",
+        "last_byte_at",
+        "first_byte_ms",
+        "slow_start",
+        "slow_start_until",
+        "missing_until",
+        "is_replaced",
+    )
+
+    def __init__(self) -> None:
+        """Nothing was sent to it yet."""
+        self.running_attempts = 0
+        self.ejected_until = NO_TIME
+        self.failures = 0
+        self.last_byte_at = NO_TIME
+        self.first_byte_ms = 0.0
+        self.slow_start = retry_budget.SlowStart()
+        self.slow_start_until = NO_TIME
+        self.missing_until: dict[identifiers.Item, identifiers.Millis] = {}
+        self.is_replaced = False
+
+    def failed(self, now: identifiers.Millis) -> None:
+        """Eject it for a while that doubles with each failure in a row."""
+        doublings = min(self.failures, EJECTION_MOST_DOUBLINGS)
+        self.ejected_until = identifiers.Millis(now + min(EJECTION_LONGEST_MS, EJECTION_MS << doublings))
+        self.failures += 1
+
+    def succeeded(self) -> None:
         """It gave a whole answer."""
-        self.fails = 0
-        self.down = NOW
-        self.ok_at = now
+        self.failures = 0
+        self.ejected_until = NO_TIME
+
+    def first_bytes_after(self, elapsed_ms: int) -> None:
+        """First bytes of an attempt came after so long."""
+        smoothed = FIRST_BYTE_KEPT * self.first_byte_ms + (1 - FIRST_BYTE_KEPT) * elapsed_ms
+        self.first_byte_ms = smoothed if self.first_byte_ms else elapsed_ms
+
+    def is_missing(self, item: identifiers.Item, now: identifiers.Millis) -> bool:
+        """Whether it said lately that it does not hold an item, or is full."""
+        return self.missing_until.get(item, NO_TIME) > now
+
+    def forget_missing(self, now: identifiers.Millis) -> None:
+        """Keep only what still counts of the items that it did not hold."""
+        self.missing_until = {item: until for item, until in self.missing_until.items() if until > now}
+
+    def copied(self) -> "ReplicaHealth":
+        """A copy whose changes leave this one as it is."""
+        out = copy.copy(self)
+        out.slow_start = self.slow_start.copied()
+        return out
+
+
+class HealthTable(dict[str, ReplicaHealth]):
+    """What is known of replicas, by id; of those that nothing was sent to there is none."""
+
+    def of(self, replica_id: str) -> ReplicaHealth:
+        """What is known of a replica; begun where there is none."""
+        known = self.get(replica_id)
+        if known is None:
+            known = self[replica_id] = ReplicaHealth()
+        return known
+
+    def forget_unlisted(self, listed: collections.abc.Container[str]) -> None:
+        """Drop replicas that are listed no more, once no attempt runs there."""
+        gone = [name for name in self if name not in listed and not self[name].running_attempts]
+        for replica_id in gone:
+            del self[replica_id]
+
+    def copied(self, listed: collections.abc.Container[str]) -> "HealthTable":
+        """A copy of what is known of listed replicas."""
+        return HealthTable({name: known.copied() for name, known in self.items() if name in listed})
+
+
+class LatencyEstimates:
+    """Smoothed times to the first bytes of services' answers, in ms."""
+
+    KEPT = 0.9
+    """The share of the old value."""
+
+    def __init__(self) -> None:
+        """Nothing was measured yet."""
+        self.first_byte_ms: dict[str, float] = {}
 
-    def took(self, ms: int) -> None:
-        """First bytes came after so long."""
-        self.first = ms if not self.first else KEPT_PART * self.first + (1 - KEPT_PART) * ms
+    def of(self, service: str) -> float:
+        """The estimate of a service; 0 where nothing was measured."""
+        return self.first_byte_ms.get(service, 0)
 
-    def lacks(self, item: identifiers.Item, now: identifiers.Millis) -> bool:
-        """Whether it said lately that it does not hold the item."""
-        return self.absent.get(item, NOW) > now
+    def add(self, service: str, elapsed_ms: int) -> None:
+        """First bytes of an answer came after so long."""
+        before = self.first_byte_ms.get(service, 0)
+        smoothed = self.KEPT * before + (1 - self.KEPT) * elapsed_ms
+        self.first_byte_ms[service] = smoothed if before else elapsed_ms
--- a/basaltport/proxy/interfaces.py
+++ b/basaltport/proxy/interfaces.py
@@ -1,4 +1,4 @@
-"""What the mixins of the relay's reducer need of it and of each other."""
+"""What the parts of the proxy's reducer need of the node that they are part of."""
 
 import collections.abc
 import random
@@ -6,83 +6,29 @@
 
 import basaltport.identifiers as identifiers
 import basaltport.member as member
-import basaltport.proxy.retry_budget as retry_budget
-import basaltport.proxy.health as replica_health
-import basaltport.proxy.request as request
+import basaltport.proxy.replica_table as replica_table
 import basaltport.proxy.routing as routing
 
-Row = dict[str, typing.Any]
 
+class FleetView(typing.Protocol):
+    """Who a proxy is, and what it knows of the fleet at this step.
 
-class NodeInterface(typing.Protocol):
-    """The reducer as its mixins see it: state, hooks and effects."""
+    `now`: ms on its clock. `rows`: replicas by id, as the feed has them; replaced whole when any changes.
+    `timings`: the deployment's bounds, see docs/design/platform.md. `zones`: how many there are.
+    """
 
     now: identifiers.Millis
-    born: identifiers.Millis
     rng: random.Random
     me: member.Me
     timings: collections.abc.Mapping[str, float]
     zones: int
-    ending: bool
-    table: routing.Table
-    rows: dict[str, Row]
-    book: Row
-    requests: dict[int, request.Request]
-    waiting: dict[int, request.Request]
-    tally: dict[str, int]
-    health: dict[str, replica_health.Health]
-    first_byte_ms: dict[str, float]
-
-    def emit(self, effect: object) -> None:
-        """An effect of this step."""
-        return None
-
-    def want(self, items: dict[str, int]) -> None:
-        """Ask the leader for items, each with the weight of what waits."""
-        return None
+    table: routing.RoutingTable
+    rows: dict[str, replica_table.FeedRow]
 
     def peers(self) -> int:
-        """How many proxies there are."""
-        ...
-
-    def pump(self) -> None:
-        """Launch what can go."""
-
-    def unpark(self) -> None:
-        """Route what was held for the feed."""
-
-    def refuse(self, waiting: request.Request, why: str, retry_after: int) -> None:
-        """Give a request up, with a promise if it never ran."""
-
-    def drop(self, ended: request.Request) -> None:
-        """Forget a request."""
-
-    def retry_of(self, service: str) -> retry_budget.Retries:
-        """The budget of a service."""
-        ...
-
-    def health_of(self, replica: str) -> replica_health.Health:
-        """What is known of a replica."""
-        ...
-
-    def holders(self, service: str, item: str) -> collections.abc.Sequence[str]:
-        """Replicas that hold an item."""
-        ...
-
-    def usable(self, waiting: request.Request) -> list[str]:
-        """Replicas that a request may go to now."""
+        """How many proxies share limits that hold over all of them."""
         ...
 
-    def held(self, waiting: request.Request) -> bool:
-        """Whether an open replica holds a request's item."""
+    def evacuated_zones(self) -> collections.abc.Collection[str]:
+        """Zones that take nothing new."""
         ...
-
-    def typical(self, service: str) -> float:
-        """Smoothed ms to first bytes."""
-        ...
-
-    def took(self, run: request.Run) -> None:
-        """First bytes of an attempt came."""
-
-    def after_timeout(self, run: request.Run) -> None:
-        """An attempt was lost without an answer."""
--- a/basaltport/proxy/load_balancing.py
+++ b/basaltport/proxy/load_balancing.py
@@ -1,163 +1,217 @@
-"""Which replica a request goes to: usable ones that hold its item, the near and little used first."""
+"""Which replica a request goes to: a usable one that holds its item, the near and little used first.
+
+An item of "" stands for the whole service. The score is that of docs/design/proxy.md.
+"""
 
 import collections.abc
 import typing
 
-import basaltport.rendezvous as rendezvous
 import basaltport.identifiers as identifiers
-import basaltport.proxy.retry_budget as retry_budget
 import basaltport.proxy.health as health
 import basaltport.proxy.interfaces as interfaces
+import basaltport.proxy.replica_table as replica_table
 import basaltport.proxy.request as request
+import basaltport.proxy.retry_budget as retry_budget
+import basaltport.rendezvous as rendezvous
 
-FAR = 0.3
-KNEE = 16
-FAILED = 0.5
-SLOW = 0.3
-SLOW_TIMES = 2
-LEAN = 0.12
-AFFINE = 1000
-TRIED = 10
-MOST_SLOWNESS = 2.0
-DRAW = 0.01
+# Parts of a replica's score; the lowest one is chosen.
+OTHER_ZONE_SCORE = 0.3
+FAILED_SCORE = 0.5
+SLOW_SCORE = 0.3
+AFFINITY_SCORE = 0.12
+TRIED_SCORE = 10
+RANDOM_SCORE = 0.01
+MOST_LATENCY_SCORE = 2.0
+SLOTS_COUNTED = 16
+"""More slots of a replica than these do not make its load count less."""
+SLOW_FACTOR = 2
+"""A replica is slow whose first bytes take so many times as long as its service's."""
+AFFINITY_TOKENS = 1000
+"""Prompts of so many tokens go to where their prefix is likely to be cached."""
 DEFAULT_SLOTS = 8
-LEAST_CAP = 4
+LEAST_ATTEMPTS = 4
+"""So many attempts one proxy may always run at a replica."""
 UNBOUNDED = 10**6
 
-Row = interfaces.Row
+ReplicaRow = replica_table.ReplicaRow
 
-if typing.TYPE_CHECKING:
-    Needs = interfaces.NodeInterface
-else:
-    Needs = object
 
+class Verdict(typing.NamedTuple):
+    """Whether a request may go to a replica now, and if not, why."""
 
-class PickMixin(Needs):
-    """An item of "" stands for the whole service."""
+    is_usable: bool
+    reason: str
 
-    def pick_start(self) -> None:
-        """No replicas yet."""
-        self.health: dict[str, health.Health] = {}
-        self.indexed: dict[str, Row] | None = None
-        self.by_item: dict[tuple[str, str], list[str]] = {}
 
-    def rows_changed(self, ids: collections.abc.Iterable[str]) -> None:
-        """Rows of these ids came, changed or went."""
-        for replica in [r for r in self.health if r not in self.rows and not self.health[r].running]:
-            del self.health[replica]
-        for replica in ids:
-            row = self.rows.get(replica)
-            if row and row.get("cold_ms"):
-                self.health_of(replica).cold_until = identifiers.Millis(self.now + row["cold_ms"])
-            if row and replica in self.health:
-                known = self.health[replica]
-                known.absent = {i: t for i, t in known.absent.items() if t > self.now}
-        self.unpark()
-        self.pump()
+class LoadBalancer:
+    """Chooses replicas by the feed, by what this proxy knows of their health, and by measured times."""
+
+    def __init__(
+        self,
+        node: interfaces.FleetView,
+        health_table: health.HealthTable,
+        latency: health.LatencyEstimates,
+    ) -> None:
+        """`node`: who this proxy is, and what it knows of the fleet."""
+        self.node = node
+        self.health = health_table
+        self.latency = latency
+        self._table = replica_table.ReplicaTable()
+
+    # what the feed tells
+
+    def replicas(self) -> dict[str, ReplicaRow]:
+        """The replicas of the feed, by id."""
+        self._table.refresh(self.node.rows)
+        return self._table.replicas
 
     def holders(self, service: str, item: str) -> collections.abc.Sequence[str]:
-        """Ids of the replicas that hold an item, by the rows as they are now."""
-        if self.indexed is not self.rows:
-            self.index()
-        return self.by_item.get((service, item), ())
-
-    def index(self) -> None:
-        """Replicas by service and item, anew."""
-        out: dict[tuple[str, str], list[str]] = {}
-        for replica, row in self.rows.items():
-            service = row["service"]
-            out.setdefault((service, ""), []).append(replica)
-            for model, adapters in row["models"].items():
-                out.setdefault((service, model), []).append(replica)
-                for adapter in adapters:
-                    out.setdefault((service, f"{model}/{adapter}"), []).append(replica)
-        self.indexed, self.by_item = self.rows, out
-
-    def health_of(self, replica: str) -> health.Health:
-        """What is known of a replica."""
-        known = self.health.get(replica)
-        if known is None:
-            known = self.health[replica] = health.Health(retry_budget.Cold())
-        return known
-
-    def slots_of(self, row: Row) -> int:
+        """Ids of the replicas that hold an item, by the feed as it is now."""
+        self._table.refresh(self.node.rows)
+        return self._table.holders(service, item)
+
+    def rows_changed(self, ids: collections.abc.Iterable[str]) -> None:
+        """Rows of these ids came, changed or went."""
+        rows, now = self.node.rows, self.node.now
+        self.health.forget_unlisted(rows)
+        for replica_id in ids:
+            row = rows.get(replica_id)
+            slow_start_ms = row and row.get("cold_ms")
+            if slow_start_ms:
+                self.health.of(replica_id).slow_start_until = identifiers.Millis(now + slow_start_ms)
+            if row and replica_id in self.health:
+                self.health[replica_id].forget_missing(now)
+
+    # what a replica may take
+
+    def slots_of(self, replica: ReplicaRow) -> int:
         """How many requests a replica works on at once."""
-        service = self.table.services.get(row["service"])
-        return row.get("slots") or (service.slots if service else 0) or DEFAULT_SLOTS
-
-    def cap(self, row: Row) -> int:
-        """How many attempts of this node a replica may run: twice an even share, at least four."""
-        nodes = max(1, self.peers() // max(1, self.zones))
-        return max(LEAST_CAP, 2 * self.slots_of(row) // nodes)
-
-    def cold_share(self, replica: str, row: Row) -> int:
-        """Requests that this node may send a cold replica in a second."""
-        service = self.table.services.get(row["service"])
-        if service is None or not service.cold_rate:
+        service = self.node.table.services.get(replica.service)
+        return replica.slots or (service.slots if service else 0) or DEFAULT_SLOTS
+
+    def most_attempts(self, replica: ReplicaRow) -> int:
+        """How many attempts of this proxy a replica may run: twice an even share, at least four."""
+        proxies_near = max(1, self.node.peers() // max(1, self.node.zones))
+        return max(LEAST_ATTEMPTS, 2 * self.slots_of(replica) // proxies_near)
+
+    def slow_start_share(self, replica: ReplicaRow) -> int:
+        """Requests that this proxy may send a replica in its slow start in a second."""
+        node = self.node
+        service = node.table.services.get(replica.service)
+        if service is None or not service.slow_start_rate:
             return UNBOUNDED
-        total = service.cold_rate * self.timings["cold_excess"] + self.timings["cold_slack"]
-        return retry_budget.Cold.share(total, self.peers(), self.me.name, replica)
+        total = service.slow_start_rate * node.timings["cold_excess"] + node.timings["cold_slack"]
+        return retry_budget.SlowStart.share(total, node.peers(), node.me.name, replica.replica_id)
 
-    def open(self, replica: str, row: Row) -> bool:
-        """Whether new requests may go there at all."""
-        if row["state"] != "ready" or row["zone"] in self.book["drains"]:
+    def is_open(self, replica: ReplicaRow) -> bool:
+        """Whether new requests may go to a replica at all."""
+        if replica.state != replica_table.READY or replica.zone in self.node.evacuated_zones():
             return False
-        known = self.health.get(replica)
-        return known is None or not known.dead
-
-    def usable(self, waiting: request.Request) -> list[str]:
-        """Replicas that a request may go to now."""
-        return [r for r in self.holders(waiting.service, waiting.item) if self.fits(waiting, r)]
-
-    def held(self, waiting: request.Request) -> bool:
-        """Whether a replica that is open holds the item, free or not."""
-        for replica in self.holders(waiting.service, waiting.item):
-            if not self.open(replica, self.rows[replica]):
+        known = self.health.get(replica.replica_id)
+        return known is None or not known.is_replaced
+
+    def is_held(self, waiting: request.Request) -> bool:
+        """Whether a replica that is open holds a request's item, free or not."""
+        now, replicas = self.node.now, self.replicas()
+        for replica_id in self.holders(waiting.service, waiting.item):
+            if not self.is_open(replicas[replica_id]):
                 continue
-            known = self.health.get(replica)
-            if known is None or not known.lacks(waiting.item, self.now) and self.now >= known.down:
+            known = self.health.get(replica_id)
+            if known is None or not known.is_missing(waiting.item, now) and now >= known.ejected_until:
                 return True
         return False
 
-    def fits(self, waiting: request.Request, replica: str) -> bool:
+    def may_take(self, replica: ReplicaRow, waiting: request.Request) -> bool:
         """Whether a request may go to a replica now."""
-        row = self.rows[replica]
-        if not self.open(replica, row):
+        if not self.is_open(replica):
             return False
-        if replica not in waiting.sent_to and not waiting.spare():
+        replica_id, now = replica.replica_id, self.node.now
+        if replica_id not in waiting.reached_replicas and not waiting.may_reach_another():
             return False
-        known = self.health_of(replica)
-        if self.now < known.down or known.lacks(waiting.item, self.now) or known.running >= self.cap(row):
+        known = self.health.of(replica_id)
+        if now < known.ejected_until or known.is_missing(waiting.item, now):
             return False
-        if self.now >= known.cold_until:
+        if known.running_attempts >= self.most_attempts(replica):
+            return False
+        if now >= known.slow_start_until:
             return True
-        return known.cold.room(self.now, self.cold_share(replica, row))
+        return known.slow_start.has_room(now, self.slow_start_share(replica))
+
+    # the choice
 
-    def pick(self, waiting: request.Request) -> str | None:
-        """The usable replica of the lowest score."""
-        best, least = None, 0.0
+    def usable(self, waiting: request.Request) -> list[ReplicaRow]:
+        """Replicas that a request may go to now."""
+        replicas = self.replicas()
+        holders = self.holders(waiting.service, waiting.item)
+        return [replicas[name] for name in holders if self.may_take(replicas[name], waiting)]
+
+    def choose(self, waiting: request.Request) -> ReplicaRow | None:
+        """The usable replica of the lowest score, or None."""
+        best, lowest = None, 0.0
         for replica in self.usable(waiting):
-            score = self.score(waiting, replica)
-            if best is None or score < least:
-                best, least = replica, score
+            score = self.score(replica, waiting)
+            if best is None or score < lowest:
+                best, lowest = replica, score
         return best
 
-    def score(self, waiting: request.Request, replica: str) -> float:
-        """How far a replica is from being the best; see docs/relay.md."""
-        row, known = self.rows[replica], self.health_of(replica)
-        share = max(1.0, min(KNEE, self.slots_of(row)) * self.zones / self.peers())
-        score = known.running / share + min(MOST_SLOWNESS, known.first / max(1, waiting.route.target))
-        if row["zone"] != self.me.zone:
-            score += FAR
-        if replica in waiting.avoid:
-            score += TRIED
-        if known.fails:
-            score += FAILED
-        typical = self.typical(waiting.service)
-        if known.first and typical and known.first > SLOW_TIMES * typical:
-            score += SLOW
-        if waiting.tokens >= AFFINE:
-            return score + LEAN * (
-                rendezvous.weight(f"{waiting.item}|{waiting.prefix}", replica) / retry_budget.Cold.HASHES
-            )
-        return score + DRAW * self.rng.random()
+    def score(self, replica: ReplicaRow, waiting: request.Request) -> float:
+        """How far a replica is from being the best for a request."""
+        node, known = self.node, self.health.of(replica.replica_id)
+        slots = min(SLOTS_COUNTED, self.slots_of(replica))
+        share = max(1.0, slots * node.zones / node.peers())
+        latency = known.first_byte_ms / max(1, waiting.route.target_ms)
+        score = known.running_attempts / share + min(MOST_LATENCY_SCORE, latency)
+        if replica.zone != node.me.zone:
+            score += OTHER_ZONE_SCORE
+        if replica.replica_id in waiting.tried_replicas:
+            score += TRIED_SCORE
+        if known.failures:
+            score += FAILED_SCORE
+        typical_ms = self.latency.of(waiting.service)
+        if known.first_byte_ms and typical_ms and known.first_byte_ms > SLOW_FACTOR * typical_ms:
+            score += SLOW_SCORE
+        return score + self.tie_break(replica, waiting)
+
+    def tie_break(self, replica: ReplicaRow, waiting: request.Request) -> float:
+        """Affinity of a long prompt to where its prefix is likely to be cached; else chance."""
+        if waiting.prompt_tokens < AFFINITY_TOKENS:
+            return RANDOM_SCORE * self.node.rng.random()
+        key = f"{waiting.item}|{waiting.prompt_prefix}"
+        return AFFINITY_SCORE * (rendezvous.weight(key, replica.replica_id) / retry_budget.HASHES)
+
+    def is_stranded(self, waiting: request.Request) -> bool:
+        """Whether a request may go only to replicas that hold its item no more, or take nothing new."""
+        if waiting.may_reach_another():
+            return False
+        replicas = self.replicas()
+        reached = (
+            name for name in self.holders(waiting.service, waiting.item) if name in waiting.reached_replicas
+        )
+        return not any(self.is_open(replicas[name]) for name in reached)
+
+    def verdict(self, replica: ReplicaRow, waiting: request.Request) -> Verdict:
+        """Whether a request may go to a replica now, or why not; for operators."""
+        if replica.replica_id not in self.holders(waiting.service, waiting.item):
+            return Verdict(False, "loads it" if waiting.item in replica.loading else "does not hold it")
+        if replica.state != replica_table.READY:
+            return Verdict(False, replica.state)
+        if replica.zone in self.node.evacuated_zones():
+            return Verdict(False, "its zone is evacuated")
+        return self.verdict_of_health(replica, waiting)
+
+    def verdict_of_health(self, replica: ReplicaRow, waiting: request.Request) -> Verdict:
+        """The same for a replica that is open by the feed."""
+        now, known = self.node.now, self.health.of(replica.replica_id)
+        if known.is_replaced:
+            return Verdict(False, "another replica has its address")
+        if now < known.ejected_until:
+            return Verdict(False, f"out for {known.ejected_until - now} ms after {known.failures} failures")
+        if known.is_missing(waiting.item, now):
+            asked_in_ms = known.missing_until[waiting.item] - now
+            return Verdict(False, f"said it is full or lacks it; asked again in {asked_in_ms} ms")
+        most = self.most_attempts(replica)
+        if known.running_attempts >= most:
+            return Verdict(False, f"busy: {known.running_attempts} of {most} of this proxy")
+        if self.may_take(replica, waiting):
+            return Verdict(True, "usable")
+        return Verdict(False, f"cold for {known.slow_start_until - now} ms: its share is used up")
--- a/basaltport/proxy/node.py
+++ b/basaltport/proxy/node.py
@@ -1,21 +1,26 @@
-"""The node that relays requests: one reducer over all its events."""
+"""The reducer of a proxy: requests wait, go to replicas, and have one end each."""
 
 import collections.abc
-import dataclasses
+import copy
 import random
 
 import basaltport.cold_start.decision as cold_start
 import basaltport.events as base
 import basaltport.fleet.follow as follow
 import basaltport.identifiers as identifiers
+import basaltport.log_events as log_events
 import basaltport.member as member
+import basaltport.proxy.admission as admission
+import basaltport.proxy.admission_queue as admission_queue
 import basaltport.proxy.attempt as attempt
-import basaltport.proxy.retry_decision as retry_decision
 import basaltport.proxy.events as events
-import basaltport.proxy.interfaces as interfaces
+import basaltport.proxy.health as health
 import basaltport.proxy.load_balancing as load_balancing
 import basaltport.proxy.model_readiness as model_readiness
+import basaltport.proxy.replica_table as replica_table
 import basaltport.proxy.request as request
+import basaltport.proxy.retry_budget as retry_budget
+import basaltport.proxy.retry_decision as retry_decision
 import basaltport.proxy.routing as routing
 
 TIMINGS = {
@@ -27,48 +32,27 @@
     "drain_ms": 3000,
     "grace_s": 8,
 }
-STARTING = 1500
-PARKED = 4000
-COME_BACK = 1000
-BOUND = 2000
-ASSUMED = 16
-NO_ROUTE = 404
-REFUSED = 503
-CONFIGURED = 42
-STARTS = "no configuration yet"
+"""What the deployment may set otherwise; see docs/design/platform.md."""
+STARTING_RETRY_AFTER_MS = 1500
+ASSUMED_PROXIES = 16
+"""How many proxies there are, until the feed tells."""
+NOT_FOUND = 404
+UNAVAILABLE = 503
+STARTING = "no configuration yet"
 ENDING = "this proxy ends"
+REJECTED_HERE = "refused-here"
+"""The label of our own rejections among the outcomes of attempts."""
 
 
-@dataclasses.dataclass(frozen=True, slots=True)
-class Refusal:
-    """Why a request is not taken, and when its client may come back, in ms."""
-
-    why: str
-    retry_after: int
-
-
-@dataclasses.dataclass(frozen=True, slots=True)
-class Parked:
-    """A request that is held until the feed is there, until then at most."""
-
-    until: float
-    arrived: events.Arrived
-
-
-class ProxyNode(
-    model_readiness.ReadinessMixin,
-    attempt.AttemptMixin,
-    load_balancing.PickMixin,
-    follow.FollowMixin,
-    member.Member,
-):
-    """A proxy: requests wait, go to replicas, and have one end each."""
+class ProxyNode(follow.FollowMixin, member.Member):
+    """One reducer over all events of a proxy. Its parts are handed to each other when it is made; they read
+    the time and the fleet from it. `requests`: all that have no end yet."""
 
     me: member.Me
     now: identifiers.Millis
     rng: random.Random
-    book: interfaces.Row
-    rows: dict[str, interfaces.Row]
+    book: replica_table.FeedRow
+    rows: dict[str, replica_table.FeedRow]
 
     def __init__(
         self,
@@ -78,223 +62,244 @@
         timings: collections.abc.Mapping[str, float] | None = None,
         zones: int = 1,
     ) -> None:
-        """`zones`: how many zones there are; `timings`: the deployment's bounds, see docs/platform.md."""
+        """`zones`: how many zones there are; `timings`: the deployment's bounds, see
+        docs/design/platform.md."""
         member.Member.__init__(self, me, seed, now)
-        self.born = now
-        self.timings = {**TIMINGS, **(timings or {})}
+        self.timings: collections.abc.Mapping[str, float] = {**TIMINGS, **(timings or {})}
         self.zones = max(1, zones)
-        self.table = routing.Table(None)
-        self.table_of: interfaces.Row | None = None
+        self.table = routing.RoutingTable(None)
+        self.compiled_document: replica_table.FeedRow | None = None
         self.requests: dict[int, request.Request] = {}
-        self.waiting: dict[int, request.Request] = {}
-        self.parked: dict[int, Parked] = {}
+        self.queue = admission_queue.AdmissionQueue()
+        self.held_arrivals = admission_queue.HeldArrivals()
         self.tally: dict[str, int] = {}
-        self.used: dict[str, int] = {}
         self.stopped = False
-        self.ending = False
-        self.readiness_start()
-        self.attempts_start()
-        self.pick_start()
+        self.is_ending = False
+        self.health = health.HealthTable()
+        self.latency = health.LatencyEstimates()
+        self.budgets = retry_budget.RetryBudgets(now, self.timings)
+        self.assemble()
         follow.FollowMixin.follow_start(self)
 
+    def assemble(self) -> None:
+        """Make the parts that share state with each other."""
+        self.balancer = load_balancing.LoadBalancer(self, self.health, self.latency)
+        self.readiness = model_readiness.ModelReadiness(self, self.balancer)
+        self.admission = admission.Admission(self, self.queue, self.readiness, self.budgets)
+        self.attempts = attempt.AttemptTracker(self, self.balancer, self.readiness, self.budgets)
+
+    def what_if(self, now: identifiers.Millis) -> "ProxyNode":
+        """A copy for explanations: what it is asked leaves this node, its counts and its chance as they
+        are."""
+        out = copy.copy(self)
+        out.now, out.rng, out.out = now, random.Random(0), []
+        out.requests, out.tally = dict(self.requests), {}
+        out.queue = admission_queue.AdmissionQueue(self.queue)
+        out.health = self.health.copied(self.rows)
+        out.budgets = retry_budget.RetryBudgets(self.budgets.started_at, self.timings)
+        out.assemble()
+        statuses = self.readiness.statuses
+        out.readiness.statuses = {item: copy.copy(status) for item, status in statuses.items()}
+        return out
+
     def peers(self) -> int:
         """How many proxies share limits that hold over all of them."""
-        return self.proxies or ASSUMED
+        return self.proxies or ASSUMED_PROXIES
+
+    def evacuated_zones(self) -> collections.abc.Collection[str]:
+        """Zones that take nothing new."""
+        zones: collections.abc.Collection[str] = self.book["drains"]
+        return zones
+
+    def is_fed(self) -> bool:
+        """Whether there is something to route by."""
+        return not self.table.is_empty and bool(self.rows)
 
     def ready(self) -> bool:
         """Whether it takes clients."""
-        return not self.stopped and not self.table.empty and bool(self.rows)
+        return not self.stopped and self.is_fed()
 
     # the feed
 
     def followed(self) -> None:
-        """The agreed book changed."""
-        manifest = self.book["manifest"]
-        if manifest is not self.table_of:
-            self.table_of = manifest
-            self.table = routing.Table(manifest)
-            lines = sum(map(len, self.table.hosts.values()))
-            self.emit(base.Note(CONFIGURED, {"serial": int(self.book["mserial"]), "lines": lines}))
-        self.unpark()
+        """The agreed state changed."""
+        document = self.book["manifest"]
+        if document is not self.compiled_document:
+            self.compiled_document = document
+            self.table = routing.RoutingTable(document)
+            routes = sum(map(len, self.table.hosts.values()))
+            version = int(self.book["mserial"])
+            self.emit(
+                base.Note(int(log_events.Event.MANIFEST_IN_FORCE), {"serial": version, "lines": routes})
+            )
+        self.route_held_arrivals()
+        self.pump()
+
+    def rows_changed(self, ids: collections.abc.Iterable[str]) -> None:
+        """Rows of these replicas came, changed or went."""
+        self.balancer.rows_changed(ids)
+        self.route_held_arrivals()
+        self.pump()
+
+    def on_facts(self, items: collections.abc.Mapping[str, replica_table.FeedRow]) -> None:
+        """The placement's answers came, by item."""
+        for item, answer in items.items():
+            if self.readiness.answered(item, answer) is not cold_start.WaitStep.END:
+                continue
+            retry_after_ms = self.readiness.status(item).retry_after_ms
+            for waiting in self.queue.waiting_for(item):
+                if not self.balancer.is_held(waiting):
+                    self.reject(waiting, "unavailable", retry_after_ms)
         self.pump()
 
     def usage(self) -> tuple[dict[str, int], dict[str, int]]:
         """What came since the last report, by item, and what runs now, by replica."""
-        used, self.used = self.used, {}
-        return used, {r: known.running for r, known in self.health.items() if known.running}
+        running = {
+            name: known.running_attempts for name, known in self.health.items() if known.running_attempts
+        }
+        return self.admission.take_item_uses(), running
 
     # requests
 
     def on_arrived(self, ev: events.Arrived) -> None:
         """A client's request, read and whole."""
-        if self.ending:
-            self.emit(events.Close(ev.request, REFUSED, ENDING, attempt.SOON))
+        if self.is_ending:
+            self.emit(events.Close(ev.request, UNAVAILABLE, ENDING, attempt.RETRY_AFTER_MS))
             return
-        if self.table.empty or not self.rows:
-            self.park(ev)
+        if not self.is_fed():
+            self.hold(ev)
             return
         route = self.table.match(ev.host, ev.path)
         if route is None:
-            self.emit(events.Close(ev.request, NO_ROUTE, "no route"))
+            self.emit(events.Close(ev.request, NOT_FOUND, "no route"))
             return
         arrived = request.Request(ev.request, route, ev)
-        refusal = self.admit(arrived, ev)
-        if refusal is not None:
-            self.refused_here()
-            self.emit(events.Close(arrived.id, REFUSED, refusal.why, refusal.retry_after))
+        rejection = self.admission.admit(arrived, ev)
+        if rejection is not None:
+            self.count_rejection()
+            effect = events.Close(arrived.id, UNAVAILABLE, rejection.detail, rejection.retry_after_ms)
+            self.emit(effect)
             return
+        self.requests[arrived.id] = arrived
         self.pump()
 
-    def admit(self, arrived: request.Request, ev: events.Arrived) -> Refusal | None:
-        """The program of its route, up to the queue."""
-        for step in arrived.route.program:
-            refusal: Refusal | None = getattr(self, "do_" + step)(arrived, ev)
-            if refusal is not None:
-                return refusal
-        return None
-
-    def refused_here(self) -> None:
-        """Counts a refusal of our own."""
-        self.tally["refused-here"] = self.tally.get("refused-here", 0) + 1
+    def count_rejection(self) -> None:
+        """Count a rejection of our own."""
+        self.tally[REJECTED_HERE] = self.tally.get(REJECTED_HERE, 0) + 1
 
     # a node that just started
 
-    def park(self, ev: events.Arrived) -> None:
-        """What comes before the feed did is held for a part of its time: a start takes a second or two."""
-        if len(self.parked) >= BOUND:
-            self.emit(events.Close(ev.request, REFUSED, STARTS, STARTING))
+    def hold(self, ev: events.Arrived) -> None:
+        """Hold an arrival until the feed is there."""
+        if self.held_arrivals.is_full():
+            self.emit(events.Close(ev.request, UNAVAILABLE, STARTING, STARTING_RETRY_AFTER_MS))
             return
-        left = PARKED if ev.deadline < 0 else min(PARKED, ev.deadline * 2 // 3)
-        self.parked[ev.request] = Parked(self.now + left, ev)
+        self.held_arrivals.hold(ev, self.now)
 
-    def unpark(self) -> None:
+    def route_held_arrivals(self) -> None:
         """Route what was held, once there is something to route by."""
-        if not self.parked or self.table.empty or not self.rows:
+        if not self.held_arrivals or not self.is_fed():
             return
-        parked, self.parked = self.parked, {}
-        for held in parked.values():
-            self.on_arrived(held.arrived)
-
-    def expire_parked(self) -> None:
-        """Refuse what was held for long enough."""
-        for request_id, held in list(self.parked.items()):
-            if self.now >= held.until:
-                del self.parked[request_id]
-                self.emit(events.Close(request_id, REFUSED, STARTS, STARTING))
-
-    # the steps of routes' programs
-
-    def do_deadline(self, arrived: request.Request, ev: events.Arrived) -> Refusal | None:
-        """The smaller of the client's deadline and the route's."""
-        longest = arrived.route.deadline
-        left = longest if ev.deadline < 0 else min(ev.deadline, longest)
-        arrived.until = identifiers.Millis(ev.now + left)
-        return None if arrived.until > self.now else Refusal("no time is left", COME_BACK)
-
-    def do_share(self, arrived: request.Request, ev: events.Arrived) -> Refusal | None:
-        """The service, by weight."""
-        arrived.service = arrived.route.service(self.rng.random())
-        return None
-
-    def do_item(self, arrived: request.Request, ev: events.Arrived) -> Refusal | None:
-        """The item, if its service has items and knows it."""
-        service = self.table.services.get(arrived.service)
-        if service is None or service.items is None:
-            arrived.item = identifiers.Item("")
-            return None
-        if not service.knows(arrived.item):
-            return Refusal("unknown model or adapter", COME_BACK)
-        self.used[arrived.item] = self.used.get(arrived.item, 0) + 1
-        return None
-
-    def do_time(self, arrived: request.Request, ev: events.Arrived) -> Refusal | None:
-        """Fails before sending where the time left cannot cover the expected load."""
-        if not arrived.item or self.on_waiting_arrival(arrived) is not cold_start.Arrival.FAIL:
-            return None
-        return Refusal("a load takes longer than the time that is left", int(self.expected(arrived)))
-
-    def do_queue(self, arrived: request.Request, ev: events.Arrived) -> Refusal | None:
-        """Into the queue."""
-        if len(self.waiting) >= BOUND:
-            return Refusal("the queue is full", COME_BACK)
-        self.requests[arrived.id] = self.waiting[arrived.id] = arrived
-        self.retry_of(arrived.service).first(self.now)
-        return None
+        for arrived in self.held_arrivals.take_all():
+            self.on_arrived(arrived)
+
+    def expire_held_arrivals(self) -> None:
+        """Reject what was held for long enough."""
+        for request_id in self.held_arrivals.take_expired(self.now):
+            self.emit(events.Close(request_id, UNAVAILABLE, STARTING, STARTING_RETRY_AFTER_MS))
 
     # the queue
 
     def pump(self) -> None:
         """Launch what can go, the most urgent and then the oldest first."""
-        if not self.waiting:
+        if not self.queue:
             return
-        full = set()
-        for waiting in sorted(self.waiting.values(), key=lambda w: w.key):
-            place = waiting.service, waiting.item
-            if place in full and not waiting.avoid:
+        without_replica = set()
+        for waiting in self.queue.in_order():
+            need = waiting.service, waiting.item
+            if need in without_replica and not waiting.tried_replicas:
                 continue
-            replica = self.pick(waiting)
+            replica = self.balancer.choose(waiting)
             if replica is not None:
-                del self.waiting[waiting.id]
-                self.launch(waiting, replica)
-            elif not waiting.avoid:
-                full.add(place)
-        if self.waiting:
-            self.ask_missing()
-
-    def refuse(self, waiting: request.Request, why: str, retry_after: int) -> None:
-        """Given up: a promise where it never ran; else no more than its end."""
-        if retry_decision.give_up(waiting.begun, waiting.ran) is not retry_decision.Move.REFUSE:
-            self.fail(waiting, attempt.GATEWAY_TIMEOUT, why)
+                del self.queue[waiting.id]
+                self.attempts.launch(waiting, replica)
+            elif not waiting.tried_replicas:
+                without_replica.add(need)
+        if self.queue:
+            self.ask_for_missing()
+
+    def ask_for_missing(self) -> None:
+        """Ask the placement, which also orders loads, for items that requests wait for and nobody holds."""
+        due = self.readiness.take_due(self.queue.values())
+        if due:
+            self.want(due)
+
+    def reject(self, ended: request.Request, detail: str, retry_after_ms: int) -> None:
+        """End a request that goes to no replica any more: with a promise where it never ran."""
+        move = retry_decision.give_up(ended.is_answer_begun, ended.may_have_run)
+        if move is not retry_decision.Move.REFUSE:
+            self.fail(ended, attempt.GATEWAY_TIMEOUT, detail)
             return
-        self.drop(waiting)
-        self.refused_here()
-        self.emit(events.Close(waiting.id, REFUSED, why, int(retry_after)))
+        self.forget(ended)
+        self.count_rejection()
+        self.emit(events.Close(ended.id, UNAVAILABLE, detail, int(retry_after_ms)))
+
+    def fail(self, ended: request.Request, status: int, detail: str) -> None:
+        """End a request that may have run."""
+        self.forget(ended)
+        if ended.is_answer_begun:
+            self.emit(events.Cut(ended.id))
+            return
+        self.emit(events.Close(ended.id, status, detail))
 
-    def drop(self, ended: request.Request) -> None:
-        """Forget a request."""
-        self.release(ended)
+    def forget(self, ended: request.Request) -> None:
+        """A request has its end."""
+        self.attempts.release_retry(ended)
         self.requests.pop(ended.id, None)
-        self.waiting.pop(ended.id, None)
+        self.queue.pop(ended.id, None)
 
     def on_left(self, ev: events.Left) -> None:
         """The client went away: its attempt is stopped."""
-        self.parked.pop(ev.request, None)
+        self.held_arrivals.pop(ev.request, None)
         left = self.requests.get(ev.request)
         if left is None:
             return
-        self.drop(left)
-        if left.run and left.run.id in self.runs:
-            left.run.aborted = request.Aborted.CLIENT_LEFT
-            self.emit(events.Abort(left.run.id))
+        self.forget(left)
+        if left.attempt and left.attempt.id in self.attempts.in_flight:
+            self.attempts.stop(left.attempt, request.StopReason.CLIENT_LEFT)
+
+    def on_progress(self, ev: events.Progress) -> None:
+        """Bytes of an answer came."""
+        self.attempts.progressed(ev.attempt)
+
+    def on_ended(self, ev: events.Ended) -> None:
+        """An attempt ended."""
+        if self.attempts.ended(ev.attempt, ev.result):
+            self.pump()
 
     def on_tick(self, ev: base.Tick) -> None:
         """What time alone brings about."""
         follow.FollowMixin.tick_follow(self)
-        self.expire_parked()
+        self.expire_held_arrivals()
         self.expire()
-        self.watch()
-        if self.waiting:
+        self.attempts.stop_silent()
+        if self.queue:
             self.pump()
 
     def expire(self) -> None:
-        """What can no longer be answered in time is refused as soon as that is known."""
-        for waiting in list(self.waiting.values()):
-            least = max(attempt.LEAST, self.typical(waiting.service) // 2)
-            if self.stranded(waiting):
-                self.refuse(waiting, "refused by the replica that it may go to", self.come_back(waiting))
-            elif self.now >= self.limit(waiting) - least:
-                self.refuse(waiting, "it could not be answered in time", self.come_back(waiting))
-
-    def stranded(self, waiting: request.Request) -> bool:
-        """Whether it may go only to replicas that hold its item no more, or take nothing new."""
-        if waiting.spare():
-            return False
-        holders = self.holders(waiting.service, waiting.item)
-        return not any(r in waiting.sent_to and self.open(r, self.rows[r]) for r in holders)
-
-    def come_back(self, waiting: request.Request) -> int:
-        """When a refused client may come back, in ms."""
-        return max(attempt.SOON, self.item_status(waiting.item).retry_after_ms if waiting.item else 0)
+        """What can no longer be answered in time is rejected as soon as that is known."""
+        for waiting in list(self.queue.values()):
+            if self.balancer.is_stranded(waiting):
+                self.reject_late(waiting, "refused by the replica that it may go to")
+                continue
+            least_ms = max(attempt.LEAST_TIME_MS, self.latency.of(waiting.service) // 2)
+            if self.now >= self.readiness.wait_ends_at(waiting) - least_ms:
+                self.reject_late(waiting, "it could not be answered in time")
+
+    def reject_late(self, waiting: request.Request, detail: str) -> None:
+        """Reject a request whose client may come back when its item may be there."""
+        retry_after_ms = max(attempt.RETRY_AFTER_MS, self.readiness.retry_after_ms(waiting))
+        self.reject(waiting, detail, retry_after_ms)
 
     # the end
 
@@ -303,14 +308,11 @@
         self.stopped = True
 
     def on_finish(self, ev: events.Finish) -> None:
-        """What waits is refused; attempts under way are stopped, and their ends tell what may be promised."""
-        self.ending = True
-        for request_id in self.parked:
-            self.emit(events.Close(request_id, REFUSED, ENDING, attempt.SOON))
-        self.parked = {}
-        for waiting in list(self.waiting.values()):
-            self.refuse(waiting, ENDING, attempt.SOON)
-        for run in self.runs.values():
-            if run.request in self.requests:
-                run.aborted = request.Aborted.PROCESS_ENDS
-                self.emit(events.Abort(run.id))
+        """What waits is rejected; attempts under way are stopped, and their ends tell what may be
+        promised."""
+        self.is_ending = True
+        for arrived in self.held_arrivals.take_all():
+            self.emit(events.Close(arrived.request, UNAVAILABLE, ENDING, attempt.RETRY_AFTER_MS))
+        for waiting in list(self.queue.values()):
+            self.reject(waiting, ENDING, attempt.RETRY_AFTER_MS)
+        self.attempts.stop_all()
--- a/basaltport/proxy/request.py
+++ b/basaltport/proxy/request.py
@@ -1,44 +1,51 @@
-"""A request in this node, from its arrival to its one end."""
+"""A request in this node, from its arrival to its one end, and its attempts."""
 
+import dataclasses
 import enum
 
 import basaltport.identifiers as identifiers
 import basaltport.proxy.events as events
 import basaltport.proxy.routing as routing
 
+NOT_YET = identifiers.Millis(0)
 
-class Aborted(enum.Enum):
+
+class StopReason(enum.Enum):
     """Why an attempt was stopped from here."""
 
-    SILENT = "silent"
+    SILENT_REPLICA = "silent replica"
     CLIENT_LEFT = "client left"
     PROCESS_ENDS = "process ends"
 
 
 class Request:
-    """What the reducer knows of a request. `until`: its deadline, `arrivals`: attempts that were sent,
-    `unsent`: those that were not, `avoid`: replicas of its attempts, `sent_to`: those that it may have
-    reached, `begun`: a part of an answer is out, `ran`: it may have run, `reserved`: a part of the budget is
-    kept for it, `key`: its place in the queue."""
+    """What the reducer knows of a request. Times are in ms on this proxy's clock.
+
+    `deadline`: when its client gives up. `attempt`: the one under way. `sent_attempts`: that were sent;
+    `unsent_attempts`: that found no connection. `tried_replicas`: of all its attempts; `reached_replicas`:
+    those that it may have reached. `is_answer_begun`: a part of an answer is with the client.
+    `may_have_run`: some attempt may have. `holds_retry`: a part of the retry budget is reserved for it.
+    `queue_key`: its place in the queue.
+    """
 
     __slots__ = (
         "id",
         "route",
         "service",
         "item",
-        "born",
-        "until",
-        "tokens",
-        "prefix",
-        "run",
-        "arrivals",
-        "unsent",
-        "avoid",
-        "sent_to",
-        "begun",
-        "ran",
-        "reserved",
-        "key",
+        "arrived_at",
+        "deadline",
+        "prompt_tokens",
+        "prompt_prefix",
+        "attempt",
+        "sent_attempts",
+        "unsent_attempts",
+        "tried_replicas",
+        "reached_replicas",
+        "is_answer_begun",
+        "may_have_run",
+        "holds_retry",
+        "queue_key",
     )
 
     def __init__(self, request_id: int, route: routing.Route, arrived: events.Arrived) -> None:
@@ -47,39 +54,41 @@
         self.route = route
         self.service = ""
         self.item = arrived.item if route.pinned else identifiers.Item("")
-        self.born = arrived.now
-        self.until = arrived.now
-        self.tokens = arrived.tokens
-        self.prefix = arrived.prefix
-        self.run: Run | None = None
-        self.arrivals = 0
-        self.unsent = 0
-        self.avoid: set[str] = set()
-        self.sent_to: set[str] = set()
-        self.begun = False
-        self.ran = False
-        self.reserved = False
-        self.key = (self.route.urgency, self.born, request_id)
-
-    def spare(self) -> bool:
-        """Whether it may go to a replica that it was not sent to."""
-        return len(self.sent_to) < self.route.attempts
-
-
-class Run:
-    """An attempt under way. `heard`: when its first bytes came, `last`: its latest ones."""
-
-    __slots__ = ("id", "request", "replica", "item", "service", "sent", "until", "heard", "last", "aborted")
-
-    def __init__(self, run_id: int, request: Request, replica: str, now: identifiers.Millis) -> None:
+        self.arrived_at = arrived.now
+        self.deadline = arrived.now
+        self.prompt_tokens = arrived.tokens
+        self.prompt_prefix = arrived.prefix
+        self.attempt: Attempt | None = None
+        self.sent_attempts = 0
+        self.unsent_attempts = 0
+        self.tried_replicas: set[str] = set()
+        self.reached_replicas: set[str] = set()
+        self.is_answer_begun = False
+        self.may_have_run = False
+        self.holds_retry = False
+        self.queue_key = (route.urgency, self.arrived_at, request_id)
+
+    def may_reach_another(self) -> bool:
+        """Whether it may go to a replica that it has not reached."""
+        return len(self.reached_replicas) < self.route.attempts
+
+
+@dataclasses.dataclass(slots=True, eq=False)
+class Attempt:
+    """An attempt under way. `first_byte_at`, `last_byte_at`: when the first and the latest bytes of its
+    answer came; before that, `last_byte_at` is when it was sent."""
+
+    id: int
+    request_id: int
+    replica_id: str
+    item: identifiers.Item
+    service: str
+    sent_at: identifiers.Millis
+    last_byte_at: identifiers.Millis
+    first_byte_at: identifiers.Millis = NOT_YET
+    stopped_for: StopReason | None = None
+
+    @classmethod
+    def begin(cls, attempt_id: int, request: Request, replica_id: str, now: identifiers.Millis) -> "Attempt":
         """An attempt that goes now."""
-        self.id = run_id
-        self.request = request.id
-        self.replica = replica
-        self.item = request.item
-        self.service = request.service
-        self.sent = now
-        self.until = request.until
-        self.heard = identifiers.Millis(0)
-        self.last = now
-        self.aborted: Aborted | None = None
+        return cls(attempt_id, request.id, replica_id, request.item, request.service, now, now)
--- a/basaltport/proxy/retry_budget.py
+++ b/basaltport/proxy/retry_budget.py
@@ -1,22 +1,31 @@
-"""Shares of limits that hold over all nodes, kept by each node for itself without asking."""
+"""Shares of limits that hold over all proxies, kept by each proxy for itself without asking."""
 
 import collections
+import collections.abc
+import copy
 
-import basaltport.rendezvous as rendezvous
 import basaltport.identifiers as identifiers
+import basaltport.rendezvous as rendezvous
 
 STEP_MS = 250
 SECOND_MS = 1000
+RETRY_SHARE_USED = 0.75
+"""Each proxy uses so much of its share of retries, as proxies do not know of each other at once."""
+SLOW_START_SHARE_USED = 0.7
+"""The same of what a replica in its slow start may be sent."""
+SLOW_START_LEAST = 3
+"""Where a proxy's share would be under so many requests a second, only some proxies send."""
+HASHES = 2**64
 
 
 class Window:
-    """Counts over a sliding span of ms, in steps that only ever overcount."""
+    """Counts over a sliding span, in steps that only ever overcount."""
 
-    __slots__ = ("span", "steps", "sum")
+    __slots__ = ("span_ms", "steps", "sum")
 
-    def __init__(self, span: int) -> None:
-        """`span`: ms."""
-        self.span = span
+    def __init__(self, span_ms: int) -> None:
+        """Nothing was counted yet."""
+        self.span_ms = span_ms
         self.steps: collections.deque[list[int]] = collections.deque()
         self.sum = 0
 
@@ -43,77 +52,103 @@
 
     def first_step(self, now: identifiers.Millis) -> int:
         """The oldest step of which a part is within the span."""
-        return (now - self.span) // STEP_MS
+        return (now - self.span_ms) // STEP_MS
+
+    def copied(self) -> "Window":
+        """A copy whose changes leave this one as it is."""
+        out = copy.copy(self)
+        out.steps = self.steps.copy()
+        return out
 
 
-class Retries:
-    """Further attempts at one service: a part of the ratio of own first ones, and a share of the slack.
+class RetryBudget:
+    """Retries at one service: a part of the ratio of this proxy's first attempts, and a share of the slack.
 
     After a start the slack is not used for one window, since what was spent before it is not remembered.
-    `reserved`: attempts that were promised a part and have not gone yet.
+    `reserved`: retries that were promised a part and have not gone yet.
     """
 
-    SAFE = 0.75
-
-    def __init__(self, now: identifiers.Millis, ratio: float, window: int, slack: float) -> None:
-        """`window`: ms; `slack`: of all nodes together."""
+    def __init__(self, now: identifiers.Millis, ratio: float, window_ms: int, slack: float) -> None:
+        """`slack`: retries in a window of all proxies together."""
         self.ratio = ratio
         self.slack = slack
-        self.slack_from = now + window
+        self.slack_from = now + window_ms
         self.reserved = 0
-        self.firsts = Window(window)
-        self.further = Window(window + STEP_MS)
+        self.first_attempts = Window(window_ms)
+        self.retries = Window(window_ms + STEP_MS)
 
-    def first(self, now: identifiers.Millis) -> None:
+    def first_attempt(self, now: identifiers.Millis) -> None:
         """A request for the service came."""
-        self.firsts.add(now)
+        self.first_attempts.add(now)
 
-    def allowed(self, now: identifiers.Millis, nodes: int, firsts: int) -> float:
-        """Further attempts that this node may make in a window with so many first ones."""
-        slack = self.slack / max(1, nodes) if now >= self.slack_from else 0
-        return self.SAFE * (self.ratio * firsts + slack)
+    def allowed(self, now: identifiers.Millis, proxies: int, first_attempts: int) -> float:
+        """Retries that this proxy may make in a window with so many first attempts."""
+        slack = self.slack / max(1, proxies) if now >= self.slack_from else 0
+        return RETRY_SHARE_USED * (self.ratio * first_attempts + slack)
 
-    def room(self, now: identifiers.Millis, nodes: int) -> bool:
-        """Whether one more further attempt may be made."""
-        allowed = self.allowed(now, nodes, self.firsts.count(now))
-        return allowed >= self.further.count(now) + self.reserved + 1
+    def has_room(self, now: identifiers.Millis, proxies: int) -> bool:
+        """Whether one more retry may be made."""
+        allowed = self.allowed(now, proxies, self.first_attempts.count(now))
+        return allowed >= self.retries.count(now) + self.reserved + 1
 
-    def left(self, now: identifiers.Millis, nodes: int) -> int:
+    def left(self, now: identifiers.Millis, proxies: int) -> int:
         """How many more there may be; changes nothing."""
-        allowed = self.allowed(now, nodes, self.firsts.peek(now))
-        return max(0, int(allowed - self.further.peek(now) - self.reserved))
+        allowed = self.allowed(now, proxies, self.first_attempts.peek(now))
+        return max(0, int(allowed - self.retries.peek(now) - self.reserved))
 
     def spend(self, now: identifiers.Millis) -> None:
-        """A further attempt goes."""
-        self.further.add(now)
+        """A retry goes."""
+        self.retries.add(now)
 
 
-class Cold:
-    """What a cold replica may be sent by one node in a second.
+class RetryBudgets(dict[str, RetryBudget]):
+    """The budgets by service, each begun with its first request."""
 
-    All nodes together keep within `total`. Where a share would be under LEAST, only some nodes send: those
-    that a hash of node and replica names.
-    """
+    def __init__(self, started_at: identifiers.Millis, timings: collections.abc.Mapping[str, float]) -> None:
+        """`started_at`: when this proxy started; `timings`: see docs/design/platform.md."""
+        super().__init__()
+        self.started_at = started_at
+        self.timings = timings
 
-    SAFE = 0.7
-    LEAST = 3
-    HASHES = 2**64
+    def of(self, service: str) -> RetryBudget:
+        """The budget of a service."""
+        budget = self.get(service)
+        if budget is None:
+            window_ms = int(SECOND_MS * self.timings["retry_window_s"])
+            ratio, slack = self.timings["retry_ratio"], self.timings["retry_slack"]
+            budget = self[service] = RetryBudget(self.started_at, ratio, window_ms, slack)
+        return budget
+
+
+class SlowStart:
+    """What a replica in its slow start is sent by this proxy in a second.
+
+    All proxies together keep within a total. Where a share would be under SLOW_START_LEAST, only some proxies
+    send: those that a hash of the names of proxy and replica chooses.
+    """
 
     def __init__(self) -> None:
         """Nothing was sent yet."""
         self.sent = Window(SECOND_MS)
 
     @classmethod
-    def share(cls, total: float, nodes: int, name: str, replica: str) -> int:
-        """Of `total` requests a second, those that the node of this name may send to a replica."""
-        total = cls.SAFE * total
-        nodes = max(1, nodes)
-        each = int(total / nodes)
-        if each >= cls.LEAST:
+    def share(cls, total: float, proxies: int, proxy_name: str, replica_id: str) -> int:
+        """Of `total` requests a second, those that a proxy may send to a replica."""
+        total = SLOW_START_SHARE_USED * total
+        proxies = max(1, proxies)
+        each = int(total / proxies)
+        if each >= SLOW_START_LEAST:
             return each
-        some = total / cls.LEAST / nodes
-        return cls.LEAST if rendezvous.weight(replica, name) / cls.HASHES < some / 2 else 0
+        sending = total / SLOW_START_LEAST / proxies
+        is_chosen = rendezvous.weight(replica_id, proxy_name) / HASHES < sending / 2
+        return SLOW_START_LEAST if is_chosen else 0
 
-    def room(self, now: identifiers.Millis, share: int) -> bool:
+    def has_room(self, now: identifiers.Millis, share: int) -> bool:
         """Whether one more may be sent now."""
         return self.sent.count(now) < share
+
+    def copied(self) -> "SlowStart":
+        """A copy whose changes leave this one as it is."""
+        out = copy.copy(self)
+        out.sent = self.sent.copied()
+        return out
--- a/basaltport/proxy/retry_decision.py
+++ b/basaltport/proxy/retry_decision.py
@@ -48,21 +48,21 @@
     repeats: Repeats
     status: int
     """Of the replica's answer; 0 if there is none."""
-    joins: bool
+    can_resume: bool
     """Whether another run can go on from what the client has."""
-    begun: bool
+    is_answer_begun: bool
     """Whether a part of an answer is with the client, from this attempt or an earlier one."""
-    ran: bool
+    has_run: bool
     """Whether this attempt or an earlier one may have run."""
-    arrived: bool
+    was_sent: bool
     """Whether any attempt was sent; only what never was is free of the budget."""
-    budget: bool
+    has_budget: bool
     """Whether the service's budget has room for a further arrival."""
-    replicas: bool
+    has_replica: bool
     """Whether the route lets it go to a replica that it was not sent to."""
-    sends: bool
+    has_attempts: bool
     """Whether its own bounds on arrivals and on connections that failed let it go again."""
-    time: bool
+    has_time: bool
     """Whether enough of its time is left."""
 
 
@@ -71,16 +71,16 @@
     if known.outcome is Outcome.DONE:
         return Move.NOTHING
     if proven_safe(known) and affordable(known):
-        return Move.RESUME if known.begun or known.outcome is Outcome.CUT else Move.REPEAT
-    if known.outcome is Outcome.FAILED and not known.begun and passable(known):
+        return Move.RESUME if known.is_answer_begun or known.outcome is Outcome.CUT else Move.REPEAT
+    if known.outcome is Outcome.FAILED and not known.is_answer_begun and passable(known):
         return Move.PASS
-    cut = known.begun or known.outcome in (Outcome.CUT, Outcome.GONE)
+    cut = known.is_answer_begun or known.outcome in (Outcome.CUT, Outcome.GONE)
     return give_up(cut, may_have_run(known))
 
 
 def may_have_run(known: Known) -> bool:
     """Whether a replica may have begun to work on the request, in this attempt or an earlier one."""
-    return known.ran or known.outcome.may_have_run
+    return known.has_run or known.outcome.may_have_run
 
 
 def give_up(begun: bool, ran: bool) -> Move:
@@ -94,17 +94,17 @@
     """Whether another run would break no promise to the client, whatever became of this one."""
     if may_have_run(known) and known.repeats is Repeats.NEVER:
         return False
-    if known.begun and known.repeats is not Repeats.RESUMED:
+    if known.is_answer_begun and known.repeats is not Repeats.RESUMED:
         return False
     match known.outcome:
         case Outcome.REFUSED | Outcome.ABSENT | Outcome.MOVED | Outcome.UNSENT:
             return True
         case Outcome.FAILED:
-            return known.status >= SERVER_ERROR and not known.begun
+            return known.status >= SERVER_ERROR and not known.is_answer_begun
         case Outcome.BROKEN:
             return True
         case Outcome.CUT:
-            return known.joins and known.repeats is Repeats.RESUMED
+            return known.can_resume and known.repeats is Repeats.RESUMED
         case _:
             return False
 
@@ -112,10 +112,12 @@
 def affordable(known: Known) -> bool:
     """Whether time, bounds and budget let it go again. A replica that only refused it may be asked again,
     though the route lets it go to no other."""
-    has_replica = known.replicas or known.outcome is Outcome.REFUSED
-    is_free = known.outcome is Outcome.UNSENT and not known.arrived
+    has_replica = known.has_replica or known.outcome is Outcome.REFUSED
+    is_free = known.outcome is Outcome.UNSENT and not known.was_sent
     bounds = cold_start.ResendBounds(
-        has_attempts=known.sends and has_replica, in_time=known.time, in_budget=known.budget or is_free
+        has_attempts=known.has_attempts and has_replica,
+        in_time=known.has_time,
+        in_budget=known.has_budget or is_free,
     )
     return bounds.allow()
 
--- a/basaltport/proxy/server.py
+++ b/basaltport/proxy/server.py
@@ -22,6 +22,7 @@
 import basaltport.proxy.response as response
 import basaltport.proxy.client_connections as client_connections
 import basaltport.proxy.response_delivery as response_delivery
+import basaltport.proxy.admission as admission
 import basaltport.proxy.events as events
 import basaltport.proxy.request_body as request_body
 import basaltport.proxy.memory_limit as memory_limit
@@ -297,7 +298,7 @@
         sink = response.Sink(
             request, b"", self.words, lambda: self.stopping, memory_limit.Claim(self.answers)
         )
-        sink.close(reason.value, "no room for the body", node.COME_BACK)
+        sink.close(reason.value, "no room for the body", admission.RETRY_AFTER_MS)
         return sink.done.result()
 
     # effects
--- a/tests/fleet_stand.py
+++ b/tests/fleet_stand.py
@@ -153,16 +153,16 @@
     stand.fill(m, rows, document())
     m.led_at = now - 200
     for k in (1, 2, 3, 4):
-        m.health_of(f"r{k}")
-    m.health["r1"].bad(now)
-    m.health["r2"].absent["birch"] = now + 900
-    m.health["r3"].running = 99
-    m.health["r4"].cold_until = now + 800
-    m.health["r4"].cold.sent.add(now - 9000)
+        m.health.of(f"r{k}")
+    m.health["r1"].failed(now)
+    m.health["r2"].missing_until["birch"] = now + 900
+    m.health["r3"].running_attempts = 99
+    m.health["r4"].slow_start_until = now + 800
+    m.health["r4"].slow_start.sent.add(now - 9000)
     for _ in range(99):
-        m.health["r4"].cold.sent.add(now)
-    m.health["r5"] = m.health_of("r5")
-    m.health["r5"].dead = True
-    m.retry_of("write").first(now)
+        m.health["r4"].slow_start.sent.add(now)
+    m.health["r5"] = m.health.of("r5")
+    m.health["r5"].is_replaced = True
+    m.budgets.of("write").first_attempt(now)
     m.tally["done"] = 3
     return m, now
--- a/tests/proxy_stand.py
+++ b/tests/proxy_stand.py
@@ -161,7 +161,7 @@
                 await asyncio.sleep(0)
         self.port = self.shell.listener.sockets[0].getsockname()[1]
         self.member = self.shell.member
-        self.member.born = identifiers.Millis(-60_000)
+        self.member.budgets.started_at = identifiers.Millis(-60_000)
         fill(self.member, [r.row() for r in self.replicas], self.doc)
         return self
 
--- a/tests/request_world.py
+++ b/tests/request_world.py
@@ -85,8 +85,8 @@
         self.routes = {r["name"]: r for r in self.document["routes"]}
         self.passed: dict[tuple[int, int], int] = {}
         self.proxies = [self.proxy() for _ in range(proxies)]
-        for relay in self.proxies:
-            relay.born = identifiers.Millis(START_MS - LONG_MS)
+        for proxy in self.proxies:
+            proxy.budgets.started_at = identifiers.Millis(START_MS - LONG_MS)
 
     def must(self, held: bool, rule: str, detail: object = "") -> None:
         if not held:
@@ -96,12 +96,12 @@
     def proxy(self) -> node.ProxyNode:
         self.lives += 1
         me = member.Me("h", f"p{self.lives}", f"p{self.lives}-s", "proxy", "z0", "127.0.0.1:1", "", [], 0)
-        relay = node.ProxyNode(me, self.lives, identifiers.Millis(self.now_ms), TIMINGS, 2)
-        relay.want = lambda items: None
-        relay.out = []
-        stand.fill(relay, self.rows(), self.document)
-        relay.proxies = self.count
-        return relay
+        proxy = node.ProxyNode(me, self.lives, identifiers.Millis(self.now_ms), TIMINGS, 2)
+        proxy.want = lambda items: None
+        proxy.out = []
+        stand.fill(proxy, self.rows(), self.document)
+        proxy.proxies = self.count
+        return proxy
 
     def rows(self) -> list[dict[str, typing.Any]]:
         out = []
@@ -273,8 +273,8 @@
 
     def change(self, replica: str, state: str) -> None:
         self.states[replica] = state
-        for n, relay in enumerate(self.proxies):
-            relay.rows = {r["id"]: r for r in self.rows()}
-            relay.out = []
-            relay.rows_changed(list(relay.rows))
-            self.take(n, relay.out)
+        for n, proxy in enumerate(self.proxies):
+            proxy.rows = {r["id"]: r for r in self.rows()}
+            proxy.out = []
+            proxy.rows_changed(list(proxy.rows))
+            self.take(n, proxy.out)
--- a/tests/test_decision.py
+++ b/tests/test_decision.py
@@ -16,7 +16,16 @@
     retry_decision.Repeats,
 )
 STATUSES = (0, 200, 404, 408, 421, 429, 500, 503, 504)
-FLAGS = ("joins", "begun", "ran", "arrived", "budget", "replicas", "sends", "time")
+FLAGS = (
+    "can_resume",
+    "is_answer_begun",
+    "has_run",
+    "was_sent",
+    "has_budget",
+    "has_replica",
+    "has_attempts",
+    "has_time",
+)
 PROMISED = (408, 421, 429, 503)
 NEVER_RAN = (Outcome.REFUSED, Outcome.ABSENT, Outcome.MOVED, Outcome.UNSENT)
 AGAIN = (Move.REPEAT, Move.RESUME)
@@ -32,12 +41,12 @@
 
 
 def ran(known):
-    return known.ran or known.outcome not in NEVER_RAN
+    return known.has_run or known.outcome not in NEVER_RAN
 
 
 def out(known):
     """Whether a part of an answer is with the client."""
-    return known.begun or known.outcome is Outcome.CUT
+    return known.is_answer_begun or known.outcome is Outcome.CUT
 
 
 # each takes what is known and the move, and is false where the move breaks a rule
@@ -65,24 +74,24 @@
 
 
 def a_cut_run_is_joined_only_where_another_can_go_on(known, move):
-    return known.outcome is not Outcome.CUT or known.joins or move not in AGAIN
+    return known.outcome is not Outcome.CUT or known.can_resume or move not in AGAIN
 
 
 def without_budget_nothing_arrives_again(known, move):
-    free = known.outcome is Outcome.UNSENT and not known.arrived
-    return known.budget or free or move not in AGAIN
+    free = known.outcome is Outcome.UNSENT and not known.was_sent
+    return known.has_budget or free or move not in AGAIN
 
 
 def it_goes_to_no_more_replicas_than_its_route_lets_it(known, move):
-    return known.replicas or known.outcome is Outcome.REFUSED or move not in AGAIN
+    return known.has_replica or known.outcome is Outcome.REFUSED or move not in AGAIN
 
 
 def its_own_bounds_end_it(known, move):
-    return known.sends or move not in AGAIN
+    return known.has_attempts or move not in AGAIN
 
 
 def when_its_time_is_over_its_end_comes_at_once(known, move):
-    return known.time and known.outcome is not Outcome.LATE or move not in AGAIN
+    return known.has_time and known.outcome is not Outcome.LATE or move not in AGAIN
 
 
 def what_is_answered_or_left_is_at_its_end(known, move):
@@ -104,7 +113,7 @@
 
 
 def what_may_go_again_and_can_does(known, move):
-    free = known.sends and known.time and known.budget and known.replicas
+    free = known.has_attempts and known.has_time and known.has_budget and known.has_replica
     lost = known.outcome in NEVER_RAN or known.outcome is Outcome.BROKEN
     may = not out(known) and (known.repeats is not Repeats.NEVER or not ran(known))
     return not (free and lost and may) or move is Move.REPEAT
@@ -146,7 +155,7 @@
     for known in ALL:
         if retry_decision.decide(known) not in AGAIN:
             continue
-        for flag in ("budget", "replicas", "sends", "time"):
+        for flag in ("has_budget", "has_replica", "has_attempts", "has_time"):
             assert retry_decision.decide(dataclasses.replace(known, **{flag: True})) in AGAIN
 
 
@@ -162,7 +171,7 @@
 
 
 def _answers_anew(known):
-    return retry_decision.give_up(False, known.ran)
+    return retry_decision.give_up(False, known.has_run)
 
 
 def _cuts_all(known):
@@ -176,11 +185,11 @@
     (3, "give_up", lambda begun, ran: Move.FAIL if ran else Move.REFUSE),
     (3, "decide", _answers_anew),
     (4, "proven_safe", lambda k: True),
-    (5, "proven_safe", _with(_proven_safe, joins=True)),
-    (6, "affordable", _with(_affordable, budget=True)),
-    (7, "affordable", _with(_affordable, replicas=True)),
-    (8, "affordable", _with(_affordable, sends=True)),
-    (9, "affordable", _with(_affordable, time=True)),
+    (5, "proven_safe", _with(_proven_safe, can_resume=True)),
+    (6, "affordable", _with(_affordable, has_budget=True)),
+    (7, "affordable", _with(_affordable, has_replica=True)),
+    (8, "affordable", _with(_affordable, has_attempts=True)),
+    (9, "affordable", _with(_affordable, has_time=True)),
     (9, "proven_safe", lambda k: True),
     (10, "decide", _answers_anew),
     (11, "decide", _passes_all),
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -21,7 +21,7 @@
         me = member.Me("h", "p1", "p1-s", "proxy", "z1", "127.0.0.1:1", "", [], 0)
         self.now = 100_000
         self.m = node.ProxyNode(me, 7, self.now, timings, 2)
-        self.m.born = identifiers.Millis(0)
+        self.m.budgets.started_at = identifiers.Millis(0)
         self.out = []
         self.n = 0
         self.m.out = []
@@ -117,7 +117,7 @@
 
 def test_what_waits_is_refused_as_soon_as_it_is_too_late_not_at_the_deadline():
     s = Sim([row("a", models=())])
-    s.m.first_byte_ms["write"] = 400
+    s.m.latency.first_byte_ms["write"] = 400
     s.ask("once", deadline=2000)
     got = s.wait(2000)
     assert [type(e) for e in got] == [events.Close]
@@ -169,9 +169,9 @@
 
 
 def test_the_slack_is_not_used_anew_after_a_start():
-    w = retry_budget.Retries(0, 0.2, 10_000, 40)
-    assert not w.room(5000, 1)
-    assert w.room(10_000, 1)
+    w = retry_budget.RetryBudget(0, 0.2, 10_000, 40)
+    assert not w.has_room(5000, 1)
+    assert w.has_room(10_000, 1)
 
 
 def test_a_cold_replica_gets_no_more_than_a_share_in_any_second():
@@ -179,7 +179,7 @@
     sent = [e.attempt for _ in range(40) for e in s.ask() if isinstance(e, events.Attempt)]
     for a in sent:
         s.end(a, "done", status=200)
-    assert 0 < len(s.out) and len(s.m.runs) == 0
+    assert 0 < len(s.out) and len(s.m.attempts.in_flight) == 0
     n = sum(isinstance(e, events.Attempt) for e in s.out)
     assert n <= (10 * 1.5 + 5) / 2
 
@@ -188,7 +188,7 @@
     for nodes in (1, 3, 9, 40, 85, 340):
         names = [f"p{i}" for i in range(nodes)]
         for r in range(30):
-            assert sum(retry_budget.Cold.share(51, nodes, n, f"r{r}") for n in names) <= 51
+            assert sum(retry_budget.SlowStart.share(51, nodes, n, f"r{r}") for n in names) <= 51
 
 
 def test_a_silent_replica_is_left_and_what_may_be_repeated_goes_elsewhere():
@@ -209,7 +209,7 @@
         s.now += 50
         s.step(events.Progress(s.now, b.attempt))
         assert s.step(base.Tick(s.now)) == []
-    assert a.attempt in s.m.runs
+    assert a.attempt in s.m.attempts.in_flight
 
 
 def test_what_a_client_leaves_is_stopped():
@@ -217,7 +217,7 @@
     a = s.ask("once")[0]
     assert [type(e) for e in s.step(events.Left(s.now, 1))] == [events.Abort]
     assert s.end(a.attempt, "broken") == [] and not s.m.requests
-    assert not s.m.health["a"].fails, "the replica is not blamed"
+    assert not s.m.health["a"].failures, "the replica is not blamed"
 
 
 def test_a_replica_is_not_blamed_for_a_client_that_left_while_it_was_connected_to():
@@ -225,13 +225,13 @@
     a = s.ask("once")[0]
     s.step(events.Left(s.now, 1))
     s.end(a.attempt, "unsent")
-    assert not s.m.health["a"].fails and not s.m.runs
+    assert not s.m.health["a"].failures and not s.m.attempts.in_flight
 
 
 def test_what_a_client_leaves_while_it_waits_goes_nowhere():
     s = Sim([row("a", models=())])
     s.ask("once")
-    assert s.step(events.Left(s.now, 1)) == [] and not s.m.requests and not s.m.waiting
+    assert s.step(events.Left(s.now, 1)) == [] and not s.m.requests and not s.m.queue
     assert s.rows(row("a")) == []
 
 
@@ -252,17 +252,17 @@
         (events.Close, 502),
         (events.Cut, None),
     ]
-    assert not s.m.requests and not s.m.health["a"].fails
+    assert not s.m.requests and not s.m.health["a"].failures
     late = s.ask("safe")[0]
     assert (type(late), late.status) == (events.Close, 503)
 
 
 def test_what_is_held_for_the_feed_is_refused_when_the_process_ends():
     s = Sim([], {"edition": 1, "routes": [], "services": []})
-    s.m.table = routing.Table(None)
+    s.m.table = routing.RoutingTable(None)
     s.ask("once")
     (got,) = s.step(events.Finish(s.now))
-    assert (type(got), got.status) == (events.Close, 503) and not s.m.parked
+    assert (type(got), got.status) == (events.Close, 503) and not s.m.held_arrivals
 
 
 LEAVING = [row("a", state="draining"), None]
@@ -273,7 +273,7 @@
     s = Sim([row("a"), row("b", "z2")])
     a = s.ask("once")[0]
     assert s.rows(*(r for r in (later, row("b", "z2")) if r)) == []
-    assert s.wait(100) == [] and a.attempt in s.m.runs
+    assert s.wait(100) == [] and a.attempt in s.m.attempts.in_flight
     assert s.end(a.attempt, "done", status=200) == [] and not s.m.requests
 
 
@@ -305,7 +305,7 @@
     a = s.ask("safe")[0]
     assert [type(e) for e in s.wait(400)] == [events.Abort]
     assert s.end(a.attempt, "done", status=200) == []
-    assert not s.m.requests and not s.m.waiting and s.wait(500) == []
+    assert not s.m.requests and not s.m.queue and s.wait(500) == []
 
 
 def test_an_address_that_answers_as_another_replica_is_not_used_again():
@@ -320,7 +320,7 @@
     doc["routes"].append({**doc["routes"][0], "name": "deep", "prefix": "/safe/deep/"})
     del doc["routes"][0]["service"]
     doc["routes"][0]["shares"] = [{"service": "a", "weight": 0}, {"service": "b", "weight": 1}]
-    t = routing.Table(doc)
+    t = routing.RoutingTable(doc)
     assert t.match("desk.example", "/safe/deep/x").name == "deep"
     assert t.match("DESK.example:80", "/safe/x").name == "safe"
     assert t.match("desk.example", "/safe") is None and t.match("else", "/safe/x") is None
@@ -349,7 +349,7 @@
     s = Sim([row("a")])
     doc, rows = s.m.book["manifest"], s.m.rows
     fresh = Sim([], {"edition": 1, "routes": [], "services": []})
-    fresh.m.table = routing.Table(None)
+    fresh.m.table = routing.RoutingTable(None)
     assert fresh.ask("safe", deadline=3000) == [] and fresh.ask("once", deadline=900) == []
     got = fresh.wait(600)
     assert [(type(e), e.request, e.status) for e in got] == [(events.Close, 2, 503)]
--- a/tests/test_proxy_budget.py
+++ b/tests/test_proxy_budget.py
@@ -37,8 +37,8 @@
     s = sim(proxy_tests.row("a"))
     for a in asked(s, "safe"):
         s.end(a.attempt, "broken")
-    budget = s.m.retry_of("write")
-    assert budget.reserved == len(s.m.waiting) > 0
+    budget = s.m.budgets.of("write")
+    assert budget.reserved == len(s.m.queue) > 0
     for request_id in list(s.m.requests):
         s.step(events.Left(s.now, request_id))
     assert budget.reserved == 0
--- a/tests/test_proxy_faults.py
+++ b/tests/test_proxy_faults.py
@@ -25,12 +25,17 @@
             shell.sinks[99] = types.SimpleNamespace(pieces=True)
             now = identifiers.steady()
             shell.step(events.Arrived(now, 99, "desk.example", "/once/x", identifiers.Item("birch"), 2000))
-            assert len(f.member.runs) == 1
+            assert len(f.member.attempts.in_flight) == 1
             shell.step(events.Left(now, 99))
             for _ in range(5):
                 await asyncio.sleep(0)
             health = f.member.health["i-1"]
-            return len(f.member.runs), health.running, health.fails, len(shell.tasks)
+            return (
+                len(f.member.attempts.in_flight),
+                health.running_attempts,
+                health.failures,
+                len(shell.tasks),
+            )
 
     assert run(go()) == (0, 0, 0, 0)
 
--- a/tests/test_proxy_sequences.py
+++ b/tests/test_proxy_sequences.py
@@ -79,12 +79,12 @@
         arrived.add(played.sent[-1].replica)
     if len(arrived) > played.route.attempts:
         yield "more replicas than its route lets it"
-    if not played.route.repeatable() and len(ran) + (bool(ran) and played.running()) > 1:
+    if not played.route.is_repeatable() and len(ran) + (bool(ran) and played.running()) > 1:
         yield "what runs once was sent again"
     for end in played.ends:
         status = getattr(end, "status", 0)
         if isinstance(end, events.Pass) and ended[-1].result.status in retry_decision.PROMISES:
-            status = ended[-1].result.status if not played.route.repeatable() else 0
+            status = ended[-1].result.status if not played.route.is_repeatable() else 0
         if status in retry_decision.PROMISES and ran:
             yield "a promise for what may have run"
         if begun and not isinstance(end, events.Cut):
@@ -92,7 +92,7 @@
     done = any(s.result.outcome is Outcome.DONE for s in ended)
     if len(played.ends) + done != int(played.over()):
         yield "not one end"
-    if not played.running() and not played.over() and not played.sim.m.waiting:
+    if not played.running() and not played.over() and not played.sim.m.queue:
         yield "not one end"
 
 
@@ -128,7 +128,7 @@
 @pytest.mark.parametrize(
     "finding, route, breaks",
     [
-        ("more replicas than its route lets it", "safe", [(request.Request, "spare", _always)]),
+        ("more replicas than its route lets it", "safe", [(request.Request, "may_reach_another", _always)]),
         (
             "what runs once was sent again",
             "once",
--- a/tests/test_proxy_wire.py
+++ b/tests/test_proxy_wire.py
@@ -331,7 +331,7 @@
             f.member.rows = {r: row for r, row in f.member.rows.items() if r == "i-2"}
             f.member.rows_changed(["i-1"])
             waits = asyncio.create_task(f.ask("/safe/x", **{W.deadline: "60000"}))
-            while not f.member.waiting:
+            while not f.member.queue:
                 await asyncio.sleep(0)
             f.shell.end.set()
             return await sent, await waits
--- a/tests/test_request_bytes_faults.py
+++ b/tests/test_request_bytes_faults.py
@@ -92,7 +92,7 @@
 
 def test_a_place_in_the_budget_comes_back_from_what_ends_while_it_waits():
     world = many_refused_at_once()
-    reserved = world.proxies[0].retries["write"]
+    reserved = world.proxies[0].budgets["write"]
     assert reserved.reserved > 0
     world.pass_time(3000)
     assert reserved.reserved == 0 and not world.open()
--- a/tests/test_request_bytes_machine.py
+++ b/tests/test_request_bytes_machine.py
@@ -94,10 +94,10 @@
         [(retry_decision, "give_up", lambda begun, ran: retry_decision.Move.REFUSE)],
     ),
     ("bare promise is not passed on", [(retry_decision, "passable", lambda known: True)]),
-    ("no more replicas than", [(request.Request, "spare", lambda self: True)]),
-    ("within the budget", [(retry_budget.Retries, "room", lambda self, now, nodes: True)]),
+    ("no more replicas than", [(request.Request, "may_reach_another", lambda self: True)]),
+    ("within the budget", [(retry_budget.RetryBudget, "has_room", lambda self, now, nodes: True)]),
     ("held past its deadline", [(node.ProxyNode, "expire", lambda self: None)]),
-    ("has (its|one) end", [(node.ProxyNode, "drop", lambda self, q: self.waiting.pop(q.id, None))]),
+    ("has (its|one) end", [(node.ProxyNode, "forget", lambda self, q: self.queue.pop(q.id, None))]),
 ]
 
 
--- a/tests/test_request_bytes_mutations.py
+++ b/tests/test_request_bytes_mutations.py
@@ -109,7 +109,7 @@
     (Check.PROMISE, "answers cut", [(retry_decision, "give_up", _always_refuse)]),
     (Check.PROMISE, "kinds of answers, once", [(retry_decision, "passable", lambda known: True)]),
     (Check.STAMP, "kinds of answers, once", [(SINK, "give", _give_as_our_own)]),
-    (Check.TRIES, "kinds of answers", [(request.Request, "spare", lambda self: True)]),
+    (Check.TRIES, "kinds of answers", [(request.Request, "may_reach_another", lambda self: True)]),
     (Check.HELD, "silence", [(UPSTREAM, "run", _ten_times_the_time)]),
     (Check.UNASKED, "kinds of answers", [(SINK, "__init__", _shorten_bodies)]),
     (Check.STRAY, "kinds of answers", [(SINK, "whole", _late_bytes)]),
@@ -127,7 +127,7 @@
 
 
 def test_a_budget_that_is_not_kept_is_found(monkeypatch):
-    monkeypatch.setattr(retry_budget.Retries, "room", lambda self, now, nodes: True)
+    monkeypatch.setattr(retry_budget.RetryBudget, "has_room", lambda self, now, nodes: True)
     played = request_cases.play(request_sweeps.one_service(Kind.ERROR), shared=True)
     assert Check.BUDGET in {f.check for f in request_checks.judge(played, shared=True)}
 
--- a/tests/test_route_scenarios.py
+++ b/tests/test_route_scenarios.py
@@ -43,7 +43,7 @@
 
 # mutations
 
-_refuse, _judged = node.ProxyNode.refuse, desk.DeskMixin.judged
+_refuse, _judged = node.ProxyNode.reject, desk.DeskMixin.judged
 _wanted = machine.Placement.wanted
 
 
@@ -55,12 +55,12 @@
     return retry_decision.Move.REFUSE
 
 
-def _any_state(self, r, row):
-    return row["zone"] not in self.book["drains"]
+def _any_state(self, replica):
+    return replica.zone not in self.node.evacuated_zones()
 
 
-def _any_zone(self, r, row):
-    return row["state"] == "ready"
+def _any_zone(self, replica):
+    return replica.state == "ready"
 
 
 def _book_once(self, m):
@@ -75,7 +75,7 @@
     old = getattr(self, "old", None)
     if old is None or doc["edition"] <= old["edition"]:
         self.old = doc
-    elif self.now - self.born > 12_000:
+    elif self.now - self.budgets.started_at > 12_000:
         self.book = {**self.book, "manifest": old}
 
 
@@ -137,12 +137,12 @@
         "replicas-ill",
         [
             (retry_decision, "proven_safe", _all_may_go_again),
-            (routing.Route, "repeatable", lambda self: True),
+            (routing.Route, "is_repeatable", lambda self: True),
         ],
     ),
     ("promise", "replicas-ill", [(retry_decision, "give_up", _all_is_refused)]),
-    ("draining", "released-one-by-one", [(load_balancing.PickMixin, "open", _any_state)]),
-    ("evacuated", "evacuation-while-a-keeper-dies", [(load_balancing.PickMixin, "open", _any_zone)]),
+    ("draining", "released-one-by-one", [(load_balancing.LoadBalancer, "is_open", _any_state)]),
+    ("evacuated", "evacuation-while-a-keeper-dies", [(load_balancing.LoadBalancer, "is_open", _any_zone)]),
     ("in-force", "quiet", [(follow.FollowMixin, "take_book", _book_once)]),
     ("back", "quiet", [(follow.FollowMixin, "take_book", _forgets)]),
     ("agreed", "power-loss", [(simdisk.SimDisk, "done", _not_written)]),
@@ -150,8 +150,8 @@
     ("refused", "operators-race", [(desk.DeskMixin, "judged", _taken_though_refused)]),
     ("refused", "operators-race", [(desk.DeskMixin, "judged", _no_compare)]),
     ("survives", "power-loss", [(simdisk.SimDisk, "done", _not_written)]),
-    ("resends", "replicas-refuse", [(retry_budget.Retries, "room", lambda self, now, nodes: True)]),
-    ("cold", "replicas-cold", [(load_balancing.PickMixin, "cold_share", lambda self, r, row: 10**6)]),
+    ("resends", "replicas-refuse", [(retry_budget.RetryBudget, "has_room", lambda self, now, nodes: True)]),
+    ("cold", "replicas-cold", [(load_balancing.LoadBalancer, "slow_start_share", lambda self, row: 10**6)]),
     ("store", "rare-models-at-once", [(store.Bucket, "fill", _endless)]),
     (
         "room",
@@ -160,7 +160,7 @@
     ),
     ("starved", "rare-models-at-once", [(machine.Placement, "wanted", _not_m20)]),
     ("back", "all-killed", [(elect.ElectMixin, "quorum", _only_founding)]),
-    ("final-word", "replicas-refuse", [(node.ProxyNode, "refuse", _now)]),
+    ("final-word", "replicas-refuse", [(node.ProxyNode, "reject", _now)]),
     (
         "held",
         "rare-models-at-once",
