--- a/basaltport/controller/admin_api.py
+++ b/basaltport/controller/admin_api.py
@@ -1,146 +1,198 @@
-"""The product's own HTTP for operators of controllers and proxies: GETs under /basaltport/, off the state."""
+"""The product's own HTTP for operators of controllers and proxies: GETs under /basaltport/."""
 
 import asyncio
+import collections.abc
 import importlib
 import json
 import sys
 import types
+import typing
 
 import aiohttp.web
 
-import basaltport.controller.admin_pages as pages
-import basaltport.controller.status_view as view
+import basaltport.controller.admin_pages as admin_pages
+import basaltport.controller.metrics as metrics
+import basaltport.controller.placement_view as placement_view
+import basaltport.controller.status_view as status_view
 import basaltport.identifiers as identifiers
-import basaltport.proxy.status_pages as proxy_status
-
+import basaltport.proxy.status_pages as proxy_pages
 
 SHADOWED = ("ssl", "http.client", "urllib.request")
+"""Modules that are missing, or without https, where a process was started without ssl."""
+OK = 200
+REDIRECT = 307
+BAD_REQUEST = 400
+NOT_FOUND = 404
+NOT_ALLOWED = 405
+UNAVAILABLE = 503
+
+Query = collections.abc.Mapping[str, str]
+Clock = collections.abc.Callable[[], identifiers.Millis]
+Families = collections.abc.Iterable[tuple[typing.Any, ...]]
+"""As of `metrics.families`."""
+
+
+class Page(typing.NamedTuple):
+    """What a page answers."""
+
+    status: int
+    document: dict[str, typing.Any]
+    headers: dict[str, str] | None = None
+
+
+PageMaker = collections.abc.Callable[[Query], Page]
 
 
 class Admin:
-    """`pages`: {name: function of the query -> (status, document, headers)}; `samples`: () -> families as of
-    controller.view.samples."""
+    """The pages of one process, by name, and its metrics."""
 
-    def __init__(self, pages, samples):
+    def __init__(self, pages: dict[str, PageMaker], families: collections.abc.Callable[[], Families]) -> None:
+        """`families` gives all metrics, anew with each call."""
         self.pages = pages
-        self.samples = samples
-        self.library = None
-        self.registry = None
-
-    async def serve(self, request):
-        name = request.path.removeprefix(pages.PREFIX)
-        if name != "metrics" and name not in self.pages:
-            got = 404, {"error": "no such page", "pages": sorted([*self.pages, "metrics"])}, None
-        elif request.method != "GET":
-            got = 405, {"error": "only GET"}, {"Allow": "GET"}
-        elif name == "metrics":
+        self.families = families
+        self.library: asyncio.Future[types.SimpleNamespace] | None = None
+        self.registry: typing.Any = None
+
+    async def serve(self, request: aiohttp.web.BaseRequest) -> aiohttp.web.StreamResponse:
+        """Answer a request for a page."""
+        name = request.path.removeprefix(admin_pages.PREFIX)
+        if name == "metrics" and request.method == "GET":
             return await self.metrics()
-        else:
-            got = self.pages[name](request.query)
-        status, doc, heads = got
-        text = json.dumps(doc, default=str)
-        return aiohttp.web.Response(status=status, text=text, content_type="application/json", headers=heads)
-
-    async def metrics(self):
-        """The library is read beside the loop, when it is first asked for."""
+        page = self.page(name, request)
+        text = json.dumps(page.document, default=str)
+        return aiohttp.web.Response(
+            status=page.status, text=text, content_type="application/json", headers=page.headers
+        )
+
+    def page(self, name: str, request: aiohttp.web.BaseRequest) -> Page:
+        """The page of a name, or what is wrong with the request."""
+        if name != "metrics" and name not in self.pages:
+            names = sorted([*self.pages, "metrics"])
+            return Page(NOT_FOUND, {"error": "no such page", "pages": names})
+        if request.method != "GET":
+            return Page(NOT_ALLOWED, {"error": "only GET"}, {"Allow": "GET"})
+        return self.pages[name](request.query)
+
+    async def metrics(self) -> aiohttp.web.StreamResponse:
+        """The page `metrics`. Its library is imported beside the loop, when it is first asked for."""
         try:
             if self.library is None:
-                self.library = asyncio.ensure_future(asyncio.to_thread(library))
-            lib = await asyncio.shield(self.library)
-        except ImportError as e:
+                self.library = asyncio.ensure_future(asyncio.to_thread(metrics_library))
+            library = await asyncio.shield(self.library)
+        except ImportError as error:
             self.library = None
-            return aiohttp.web.json_response({"error": f"no metrics: {e}"}, status=503)
+            return aiohttp.web.json_response({"error": f"no metrics: {error}"}, status=UNAVAILABLE)
         if self.registry is None:
-            self.registry = lib.CollectorRegistry()
-            self.registry.register(Collector(lib, self.samples))
-            lib.ProcessCollector(registry=self.registry)
-        headers = {"Content-Type": lib.CONTENT_TYPE_LATEST}
-        return aiohttp.web.Response(body=lib.generate_latest(self.registry), headers=headers)
+            self.registry = library.CollectorRegistry()
+            self.registry.register(Collector(library, self.families))
+            library.ProcessCollector(registry=self.registry)
+        headers = {"Content-Type": library.CONTENT_TYPE_LATEST}
+        return aiohttp.web.Response(body=library.generate_latest(self.registry), headers=headers)
 
 
-def library():
-    """prometheus_client (2.6 MB and 35 ms, so only where it is used). It cannot be imported without ssl, so
-    where the process was started without, that is there while it is."""
+def metrics_library() -> types.SimpleNamespace:
+    """prometheus_client (2.6 MB and 35 ms, so only where it is used). It can't be imported without ssl: where
+    the process was started without it, ssl is there while the library is imported."""
     if sys.modules.get("ssl", sys) is not None:
-        return _parts()
-    kept = {k: sys.modules.pop(k) for k in SHADOWED if k in sys.modules}
+        return _import_metrics_library()
+    kept = {name: sys.modules.pop(name) for name in SHADOWED if name in sys.modules}
     try:
-        return _parts()
+        return _import_metrics_library()
     finally:
         sys.modules.update(kept)
 
 
-def _parts():
-    p = importlib.import_module("prometheus_client")
+def _import_metrics_library() -> types.SimpleNamespace:
+    client = importlib.import_module("prometheus_client")
     core = importlib.import_module("prometheus_client.core")
     return types.SimpleNamespace(
-        CollectorRegistry=p.CollectorRegistry,
-        ProcessCollector=p.ProcessCollector,
-        CONTENT_TYPE_LATEST=p.CONTENT_TYPE_LATEST,
-        generate_latest=p.generate_latest,
-        gauge=core.GaugeMetricFamily,
-        counter=core.CounterMetricFamily,
+        CollectorRegistry=client.CollectorRegistry,
+        ProcessCollector=client.ProcessCollector,
+        CONTENT_TYPE_LATEST=client.CONTENT_TYPE_LATEST,
+        generate_latest=client.generate_latest,
+        families={"gauge": core.GaugeMetricFamily, "counter": core.CounterMetricFamily},
     )
 
 
 class Collector:
-    def __init__(self, lib, samples):
-        self.lib = lib
-        self.samples = samples
-
-    def collect(self):
-        for name, kind, help, labels, rows in self.samples():
-            f = getattr(self.lib, kind)(name, help, labels=labels)
-            for values, n in rows:
-                f.add_metric([str(v) for v in values], n)
-            yield f
-
-
-# controllers
+    """Gives the library the metrics of this process."""
+
+    def __init__(
+        self, library: types.SimpleNamespace, families: collections.abc.Callable[[], Families]
+    ) -> None:
+        """`library`: as of `metrics_library`."""
+        self.library = library
+        self.families = families
+
+    def collect(self) -> collections.abc.Iterator[object]:
+        """All families in the library's form."""
+        for name, kind, help, labels, samples in self.families():
+            family = self.library.families[kind](name, help, labels=labels)
+            for values, value in samples:
+                family.add_metric([str(label) for label in values], value)
+            yield family
+
+
+class ControllerServer(typing.Protocol):
+    """What the pages read of a controller's process."""
+
+    member: typing.Any
+    listed_at: int | None
+
+
+def controller_admin(server: ControllerServer, now: Clock = identifiers.steady) -> Admin:
+    """The pages of a controller. What the leader alone knows is asked of it: the others answer 307 to the
+    leader, or 503 where none is known, with what they know themselves, as `?own=1` gives it at any time."""
+
+    def status(time: int) -> dict[str, typing.Any]:
+        return status_view.status(server.member, time, server.listed_at)
+
+    def led(name: str, document: collections.abc.Callable[[int], dict[str, typing.Any]]) -> PageMaker:
+        def page(query: Query) -> Page:
+            if server.member.leading or query.get("own"):
+                return Page(OK, document(now()))
+            leader = status_view.leader(server.member)
+            if leader is None:
+                return Page(UNAVAILABLE, {"error": "no leader", **status(now())})
+            if not leader["http"]:
+                error = f"ask the leader, {leader['name']}"
+                return Page(UNAVAILABLE, {"error": error, "leader": leader["name"]})
+            location = f"http://{leader['http']}{admin_pages.PREFIX}{name}"
+            return Page(REDIRECT, {"leader": leader["name"]}, {"Location": location})
 
+        return page
 
-def controller_admin(shell, now=identifiers.steady):
-    """For a ControllerServer. What only the leader knows is asked of it: 307 to it; 503 with none, and
-    what this controller knows itself, as `?own=1` gives it at any time."""
-
-    def listed():
-        return shell.listed_at
-
-    def led(name, make):
-        def page(query):
-            m, t = shell.member, now()
-            if m.leading or query.get("own"):
-                return 200, make(m, t), None
-            x = view.leader(m)
-            if x is None:
-                return 503, {"error": "no leader", **view.status(m, t, listed())}, None
-            if not x["http"]:
-                return 503, {"error": f"ask the leader, {x['name']}", "leader": x["name"]}, None
-            return 307, {"leader": x["name"]}, {"Location": f"http://{x['http']}{pages.PREFIX}{name}"}
+    documents = {
+        "status": status,
+        "placement": lambda time: placement_view.page(server.member, time),
+        "configuration": lambda time: status_view.configuration(server.member, time),
+        "members": lambda time: status_view.members(server.member, time),
+    }
+    pages = {name: led(name, document) for name, document in documents.items()}
+    return Admin(pages, lambda: metrics.families(server.member, now(), server.listed_at))
 
-        return page
 
-    makes = {"status": lambda m, t: view.status(m, t, listed())}
-    makes |= {k: getattr(view, k) for k in ("placement", "configuration", "members")}
-    all_ = {k: led(k, f) for k, f in makes.items()}
-    return Admin(all_, lambda: view.samples(shell.member, now(), listed()))
+class ProxyServer(typing.Protocol):
+    """What the pages read of a proxy's process."""
 
+    member: typing.Any
 
-# proxies
 
+def proxy_admin(server: ProxyServer, now: Clock = identifiers.steady) -> Admin:
+    """The pages of a proxy."""
 
-def proxy_admin(shell, now=identifiers.steady):
-    """For a ProxyServer."""
+    def status(query: Query) -> Page:
+        return Page(OK, proxy_pages.status(server.member, now()))
 
-    def explain(query):
+    def explain(query: Query) -> Page:
         if not query.get("host") or not query.get("path", "").startswith("/"):
-            return 400, {"error": "needs host and path, as /a/b"}, None
+            return Page(BAD_REQUEST, {"error": "needs host and path, as /a/b"})
         try:
-            deadline, tokens = int(query.get("deadline_ms", -1)), int(query.get("tokens", 0))
+            deadline_ms, tokens = int(query.get("deadline_ms", -1)), int(query.get("tokens", 0))
         except ValueError:
-            return 400, {"error": "deadline_ms and tokens are whole numbers"}, None
-        args = query["host"], query["path"], query.get("item", ""), deadline, tokens
-        return 200, proxy_status.explain(shell.member, now(), *args), None
+            return Page(BAD_REQUEST, {"error": "deadline_ms and tokens are whole numbers"})
+        request = query["host"], query["path"], query.get("item", ""), deadline_ms, tokens
+        return Page(OK, proxy_pages.explain(server.member, now(), *request))
 
-    all_ = {"status": lambda query: (200, proxy_status.status(shell.member, now()), None), "explain": explain}
-    return Admin(all_, lambda: proxy_status.samples(shell.member, now()))
+    pages = {"status": status, "explain": explain}
+    return Admin(pages, lambda: proxy_pages.samples(server.member, now()))
--- a/basaltport/controller/events.py
+++ b/basaltport/controller/events.py
@@ -1,24 +1,25 @@
 """Events of a controller beside those of every member: what came of Placement's effects."""
 
 import dataclasses
+import typing
 
 import basaltport.identifiers as identifiers
 
-_d = dataclasses.dataclass(slots=True)
+Document = dict[str, typing.Any]
 
 
-@_d
+@dataclasses.dataclass(slots=True)
 class Listed:
-    """The whole list of replicas, in the product's words, where it could be read."""
+    """The platform's list was read (`ok`): `rows` are all replicas, in the product's words."""
 
     now: identifiers.Millis
     ok: bool
-    rows: list
+    rows: list[Document]
 
 
-@_d
+@dataclasses.dataclass(slots=True)
 class Ordered:
-    """`outcome`: accepted, done, busy, fenced, failed, unknown or moved; `took` in ms."""
+    """A replica answered an order, or did not; `outcome`: a `placement.order_types.OrderOutcome`."""
 
     now: identifiers.Millis
     order: int
@@ -26,9 +27,11 @@
     took: identifiers.Millis
 
 
-@_d
+@dataclasses.dataclass(slots=True)
 class Reported:
+    """A replica told what it holds (`ok`), or did not answer."""
+
     now: identifiers.Millis
     replica: identifiers.ReplicaId
     ok: bool
-    report: dict
+    report: Document
--- /dev/null
+++ b/basaltport/controller/metrics.py
@@ -0,0 +1,81 @@
+"""The metrics of a controller, for its page `metrics`; what only the leader knows comes from the leader."""
+
+import collections
+import collections.abc
+import typing
+
+import basaltport.controller.status_view as status_view
+
+if typing.TYPE_CHECKING:
+    import basaltport.controller.node as controller_node
+
+PREFIX = "basaltport_"
+GAUGE = "gauge"
+
+Node: typing.TypeAlias = "controller_node.Controller"
+
+
+class Family(typing.NamedTuple):
+    """All samples of one metric."""
+
+    name: str
+    kind: str
+    """`gauge` or `counter`."""
+    help: str
+    labels: collections.abc.Sequence[str]
+    samples: collections.abc.Sequence[tuple[tuple[object, ...], float]]
+    """Values of the labels, and the metric's value."""
+
+
+Families = collections.abc.Iterator[Family]
+
+
+def gauge(name: str, help: str, value: float) -> Family:
+    """A gauge without labels."""
+    return Family(PREFIX + name, GAUGE, help, (), [((), value)])
+
+
+def families(node: Node, now: int, listed_at: int | None = None) -> Families:
+    """All metrics; `now` and `listed_at` in ms, as of `status_view`."""
+    reasons = status_view.unsettled(node, now, listed_at)
+    led = status_view.leader(node) is not None
+    yield gauge("leads", "1 where this controller leads", int(node.leading))
+    yield gauge("holds", "1 where this controller leads and no other can", int(node.holds_at(now)))
+    yield gauge("led", "1 where a leader is heard, or it leads itself", int(led))
+    yield gauge("serial", "Index of the last agreed log entry", int(node.book["serial"]))
+    yield gauge("edition", "Edition of the configuration in force", status_view.edition(node))
+    yield gauge("unsettled", "Reasons why this controller is not settled", len(reasons))
+    if node.leading:
+        yield from _leader_families(node, now, listed_at)
+    if node.leading and node.placement_fence is not None:
+        yield from _placement_families(node, now)
+
+
+def _leader_families(node: Node, now: int, listed_at: int | None) -> Families:
+    rows = status_view.controllers(node, now)
+    votes = sum(row["votes"] for row in rows)
+    slow = status_view.SILENT_MS
+    silent = sum(row["silent_ms"] is None or row["silent_ms"] > slow for row in rows)
+    yield gauge("controllers", "Controllers that vote", votes)
+    yield gauge("keepers", "Former name of basaltport_controllers", votes)
+    yield gauge("controllers_silent", "Controllers that do not answer", silent)
+    yield gauge("keepers_silent", "Former name of basaltport_controllers_silent", silent)
+    yield gauge("proxies", "Proxies that follow", len(node.proxies))
+    if listed_at is not None:
+        yield gauge("list_age_seconds", "Age of the list of replicas", (now - listed_at) / 1000)
+
+
+def _placement_families(node: Node, now: int) -> Families:
+    placement = status_view.placement_of(node)
+    oldest = max((now - waiting.first_at for waiting in placement.waiting.values()), default=0)
+    lacking = sum(
+        max(0, hot.copies_due - len(placement.copies(model))) for model, hot in placement.hot_models.items()
+    )
+    by_state = collections.Counter((r.service, r.zone, r.state) for r in placement.replicas.values())
+    labels = ("service", "zone", "state")
+    yield gauge("wants", "Items that requests wait for", len(placement.waiting))
+    yield gauge("want_age_seconds", "Age of the oldest of them", oldest / 1000)
+    yield gauge("orders", "Orders under way", len(placement.working))
+    yield gauge("models_hot", "Models that are due more than one copy", len(placement.hot_models))
+    yield gauge("copies_lacking", "Copies that hot models lack", lacking)
+    yield Family(PREFIX + "replicas", GAUGE, "Replicas on the list", labels, sorted(by_state.items()))
--- a/basaltport/controller/node.py
+++ b/basaltport/controller/node.py
@@ -6,21 +6,20 @@
 import basaltport.consensus.voters as voters
 import basaltport.fleet.publish as publish
 import basaltport.controller.operator_requests as desk
+import basaltport.controller.placement_control as placement_control
 import basaltport.controller.shard_ownership as duties
 import basaltport.member as member
-import basaltport.placement.effects as effects
 import basaltport.placement.machine as machine
 import basaltport.text as text
 
 SNAPSHOT_EVERY = 200
 SNAPSHOT_BYTES = 4 << 20
 RETRY = 1000
-HOLD = 200
 LEASE = 3000
-PUT_OFF = 2000
 
 
 class Controller(
+    placement_control.PlacementControlMixin,
     duties.ShardOwnershipMixin,
     campaign.CampaignMixin,
     desk.DeskMixin,
@@ -40,13 +39,9 @@
     ):
         member.Member.__init__(self, me, seed, now)
         self.began = now if began is None else began
-        self.placement = machine.Placement(self.rng) if placement is None else placement
-        self.placement.hold_ms = HOLD
+        self.placement_start(machine.Placement(self.rng) if placement is None else placement)
         self.placement.may_order = self.may_order
         self.lease_ms = lease_ms
-        self.placing = None
-        self.placed_of = None
-        self.put_off = []
         self.lead_clear()
         self.seat_start(held, promised)
         self.elect_start()
@@ -60,7 +55,7 @@
     def step(self, ev):
         super().step(ev)
         self.see_slices()
-        self.keep_placement()
+        self.update_placement()
         if self.leading and self.beat_at < 0:
             self.beat()
         self.publish()
@@ -84,67 +79,10 @@
         self.kept_at, self.unkept = self.book["serial"], 0
         self.write([], whole=self.copy())
 
-    # placement
-
-    def keep_placement(self):
-        """Started once this leader's own entry is agreed, under its serial; stopped with its lead."""
-        if not self.leading:
-            if self.placing is not None:
-                self.placing, self.put_off = None, []
-                self.forget_orders()
-                self.placement.stop()
-            return
-        if not self.settled():
-            return
-        if self.placing is None:
-            self.placing, self.placed_of = self.first, None
-            self.place("start", self.first, self.me.name)
-        of = (self.book["mserial"], sorted(self.book["drains"]))
-        if of != self.placed_of:
-            self.placed_of = of
-            self.place("configure", self.book["manifest"], set(of[1]))
-
-    def place(self, call, *args):
-        """Put off while it is not sure that no other leads."""
-        if self.placing is None:
-            return
-        if not self.holds():
-            self.put_off = [*self.put_off, (call, args)][-PUT_OFF:]
-            return
-        self.place_put_off()
-        self.tell_placement(call, args)
-        if getattr(self.placement, "deposed", False):
-            self.step_down("a replica knows a higher fence")
-
-    def place_put_off(self):
-        calls, self.put_off = self.put_off, []
-        for call, args in calls:
-            self.tell_placement(call, args)
-
-    def tell_placement(self, call, args):
-        for e in list(getattr(self.placement, call)(self.now, *args) or ()):
-            self.route(e) if isinstance(e, effects.Order) else self.emit(e)
-        self.rows_known = self.rows_known or call == "listed"
-
-    def tick_place(self):
-        if self.placing is not None and self.holds():
-            self.place("tick")
-
-    def on_listed(self, ev):
-        if ev.ok:
-            self.place("listed", ev.rows)
-            return
-        self.place("list_failed")
-
-    def on_reported(self, ev):
-        self.place("reported", ev.replica, ev.ok, ev.report)
-
-    def heard_use(self, zone, use, load):
-        if self.holds():
-            self.place("used", zone, use, load)
-
     def hear_want(self, src, m):
+        """A proxy tells how many requests wait for items; it is told how they stand."""
         if not self.holds():
             return
-        self.place("wanted", m.zone, m.items)
-        self.tell_facts(m.address, {i: self.placement.facts(self.now, i) for i in m.items})
+        self.call_placement(self.placement.requests_waiting, m.zone, m.items)
+        found = {item: self.placement.model_status(self.now, item).document() for item in m.items}
+        self.tell_facts(m.address, found)
--- a/basaltport/controller/shard_ownership.py
+++ b/basaltport/controller/shard_ownership.py
@@ -171,7 +171,7 @@
             return False
         return s in self.echoes and self.echoes[s][2] >= r["fence"]
 
-    def route(self, e):
+    def route_order(self, e):
         """An order of Placement's, to the owner of its slice."""
         if not self.may_order(e.replica):
             self.returned.append(e.order)
@@ -192,7 +192,8 @@
         if not self.leading or m.gen != self.promised or m.order not in self.put_out:
             return
         del self.put_out[m.order]
-        self.place("ordered", m.order, "failed" if m.outcome == "fenced" else m.outcome, m.took)
+        outcome = "failed" if m.outcome == "fenced" else m.outcome
+        self.call_placement(self.placement.ordered, m.order, outcome, m.took)
 
     # the leader
 
@@ -264,10 +265,10 @@
         for n, at in list(self.put_out.items()):
             if self.now - at > ANSWER:
                 del self.put_out[n]
-                self.place("ordered", n, "unknown", identifiers.Millis(self.now - at))
+                self.call_placement(self.placement.ordered, n, "unknown", identifiers.Millis(self.now - at))
         orders, self.returned = self.returned, []
         for n in orders:
-            self.place("ordered", n, "failed", identifiers.Millis(0))
+            self.call_placement(self.placement.ordered, n, "failed", identifiers.Millis(0))
         if self.leading and self.holds() and not self.stopped:
             self.duty_since.setdefault(self.me.seat, self.now)
             if not self.pending("slices"):
--- a/basaltport/controller/status_view.py
+++ b/basaltport/controller/status_view.py
@@ -1,236 +1,192 @@
-"""What operators are shown of a controller: pure functions of the reducer's state, which they never change.
+"""What operators are shown of a controller: pure functions of its state, which they never change.
 
-`m` is the Controller, `now` in ms, `listed` when the list of replicas last came whole (ms) or None."""
+`now` is in ms; `listed_at` is when the platform's list of replicas was last read, in ms, or None.
+"""
 
-import collections
-import copy
-import math
+import typing
 
-import basaltport.placement.demand as demand
+import basaltport.placement.replica_state as replica_state
 
-SLOW_LIST = 3000
-SLOW_SEAT = 1000
+if typing.TYPE_CHECKING:
+    import basaltport.controller.node as controller_node
+    import basaltport.placement.machine as machine
 
+SLOW_LIST_MS = 3000
+"""A list of replicas that is older than this is named as a fault."""
+SILENT_MS = 1000
+"""A controller that has been silent for longer is named as a fault."""
 
-def leader(m):
+Row = dict[str, typing.Any]
+Node: typing.TypeAlias = "controller_node.Controller"
+
+
+def leader(node: Node) -> Row | None:
     """The agreed row of whom this controller leads or follows, or None."""
-    if m.leading:
-        return m.me.row()
-    if not m.hears_leader():
+    if node.leading:
+        return node.me.row()
+    if not node.hears_leader():
         return None
-    known = [r for r in m.book["roster"].values() if r["name"] == m.leader.name]
-    return known[0] if known else {"name": m.leader.name, "addr": m.leader.addr, "http": "", "zone": ""}
+    for row in node.book["roster"].values():
+        if row["name"] == node.leader.name:
+            return dict(row)
+    return {"name": node.leader.name, "addr": node.leader.addr, "http": "", "zone": ""}
 
 
-def silence(m, now, row):
-    """Ms since a controller was last heard of, None if never."""
-    if row["name"] == m.me.name:
+def silence_ms(node: Node, now: int, row: Row) -> int | None:
+    """For how long a controller was not heard of, in ms; None if it never was."""
+    if row["name"] == node.me.name:
         return 0
-    at = m.acks.get(row["seat"]) if m.leading else None
-    if at is None and row["name"] in m.members:
-        at = m.members[row["name"]]["at"]
-    return None if at is None else max(0, now - at)
+    heard_at = node.acks.get(row["seat"]) if node.leading else None
+    if heard_at is None and row["name"] in node.members:
+        heard_at = node.members[row["name"]]["at"]
+    return None if heard_at is None else max(0, now - heard_at)
 
 
-def controllers(m, now):
-    agreed = m.book["roster"]
-    new = m.learners if m.leading else {}
+def controllers(node: Node, now: int) -> list[Row]:
+    """All controllers, also new ones that have no vote yet."""
+    agreed = node.book["roster"]
+    learners = node.learners if node.leading else {}
+    rows = [*agreed.items(), *((i, row) for i, row in learners.items() if i not in agreed)]
     out = []
-    for seat, r in [*agreed.items(), *((s, r) for s, r in new.items() if s not in agreed)]:
-        row = {k: r[k] for k in ("name", "zone", "addr", "http")}
-        out.append({**row, "votes": seat in agreed, "silent_ms": silence(m, now, r)})
-    return sorted(out, key=lambda r: r["name"])
+    for member_id, row in rows:
+        shown = {key: row[key] for key in ("name", "zone", "addr", "http")}
+        out.append({**shown, "votes": member_id in agreed, "silent_ms": silence_ms(node, now, row)})
+    return sorted(out, key=lambda row: row["name"])
 
 
-def proxies(m, now):
-    """As the leader knows them; `behind`: entries of the agreed book that it was not sent yet."""
+def proxies(node: Node, now: int) -> list[Row]:
+    """The proxies that the leader knows; `behind`: entries of the agreed log that one was not sent yet."""
     out = []
-    for name, p in m.proxies.items():
-        row = {"name": name, "zone": p.zone, "address": p.address, "silent_ms": now - p.at}
-        out.append({**row, "serial": int(p.serial), "behind": max(0, m.book["serial"] - p.serial)})
-    return sorted(out, key=lambda r: r["name"])
+    for name, proxy in node.proxies.items():
+        row = {"name": name, "zone": proxy.zone, "address": proxy.address, "silent_ms": now - proxy.at}
+        behind = max(0, node.book["serial"] - proxy.serial)
+        out.append({**row, "serial": int(proxy.serial), "behind": behind})
+    return sorted(out, key=lambda row: row["name"])
 
 
-def orders(m, now):
-    """Plans under way, each with the step it is at."""
-    out = []
-    for r, p in m.placement.active.items():
-        s = p.plan.steps[0] if p.plan.steps else None
-        row = {"replica": r, "goal": p.plan.goal, "for": "wanted" if p.plan.asked else "copies"}
-        row |= {"age_ms": now - p.plan.made, "steps": len(p.plan.steps)}
-        if s:
-            state = "accepted" if s.taken else "unsure" if s.unsure else "sent" if s.order else "waits"
-            row |= {"kind": s.kind, "item": s.item, "state": state}
-            row["since_ms"] = None if s.sent is None else now - s.sent
-        out.append(row)
-    return sorted(out, key=lambda r: -r["age_ms"])
-
-
-def unsettled(m, now, listed):
+def placement_of(node: Node) -> "machine.Placement":
+    """The placement of a controller, with all its state."""
+    return typing.cast("machine.Placement", node.placement)
+
+
+def orders(node: Node, now: int) -> list[Row]:
+    """Plans under way, the oldest first, each with the step it is at."""
+    rows = [_plan_row(replica, now) for replica in placement_of(node).working.values() if replica.plan]
+    return sorted(rows, key=lambda row: -row["age_ms"])
+
+
+def _plan_row(replica: replica_state.Replica, now: int) -> Row:
+    plan = typing.cast(replica_state.Plan, replica.plan)
+    row: Row = {"replica": replica.id, "goal": plan.goal, "for": "wanted" if plan.on_demand else "copies"}
+    row |= {"age_ms": now - plan.made_at, "steps": len(plan.steps)}
+    if plan.steps:
+        step = plan.steps[0]
+        row |= {"kind": step.kind.value, "item": step.item, "state": _step_state(step)}
+        row["since_ms"] = None if step.first_sent_at is None else now - step.first_sent_at
+    return row
+
+
+def _step_state(step: replica_state.Step) -> str:
+    if step.accepted:
+        return "accepted"
+    if step.uncertain:
+        return "unsure"
+    return "sent" if step.order else "waits"
+
+
+def unsettled(node: Node, now: int, listed_at: int | None) -> list[str]:
     """Reasons why not all is as it should be, in words."""
     out = []
-    if not m.leading and leader(m) is None:
+    if not node.leading and leader(node) is None:
         out.append("no leader is heard")
-    if not m.leading and m.camp:
-        out.append("asks for promises; missing: " + (", ".join(m.missing()) or "none"))
-    if m.bad:
+    if not node.leading and node.camp:
+        out.append("asks for promises; missing: " + (", ".join(node.missing()) or "none"))
+    if node.bad:
         out.append("the disk failed")
-    if m.disk_stalls():
+    if node.disk_stalls():
         out.append("the disk stalls")
-    if not m.leading:
-        return out
-    if not m.settled():
+    if node.leading:
+        out += _unsettled_consensus(node, now)
+        out += _unsettled_placement(node, now, listed_at)
+    return out
+
+
+def _unsettled_consensus(node: Node, now: int) -> list[str]:
+    out = []
+    if not node.settled():
         out.append("the leader's first entry is not agreed yet")
-    elif not m.holds_at(now):
+    elif not node.holds_at(now):
         out.append("most controllers have not vouched for the leader lately")
-    for k in controllers(m, now):
-        if not k["votes"]:
-            out.append(f"controller {k['name']} is new and has no seat yet")
-        elif k["silent_ms"] is None or k["silent_ms"] > SLOW_SEAT:
-            out.append(f"controller {k['name']} is silent")
-    if m.book["manifest"] is None:
+    for row in controllers(node, now):
+        if not row["votes"]:
+            out.append(f"controller {row['name']} is new and has no seat yet")
+        elif row["silent_ms"] is None or row["silent_ms"] > SILENT_MS:
+            out.append(f"controller {row['name']} is silent")
+    if node.book["manifest"] is None:
         out.append("there is no configuration yet")
-    late = [p["name"] for p in proxies(m, now) if p["behind"]]
+    late = [row["name"] for row in proxies(node, now) if row["behind"]]
     if late:
         out.append("proxies that lack entries: " + ", ".join(late))
-    return out + unplaced(m, now, listed)
+    return out
 
 
-def unplaced(m, now, listed):
-    if m.placing is None:
+def _unsettled_placement(node: Node, now: int, listed_at: int | None) -> list[str]:
+    if node.placement_fence is None:
         return ["placement has not begun"]
-    p, out = m.placement, []
-    if p.ready_at > now:
-        out.append(f"orders wait {p.ready_at - now} ms until no former leader can give any")
-    if listed is None or not p.known:
+    placement, out = placement_of(node), []
+    if placement.orders_from > now:
+        out.append(f"orders wait {placement.orders_from - now} ms until no former leader can give any")
+    if listed_at is None or not placement.list_known:
         out.append("the list of replicas was not read yet")
-    elif now - listed > SLOW_LIST:
-        out.append(f"the list of replicas was last read {now - listed} ms ago")
-    dark = sorted(r for r, x in p.reps.items() if x.dark)
-    if dark:
-        out.append("replicas that do not answer orders: " + ", ".join(dark))
+    elif now - listed_at > SLOW_LIST_MS:
+        out.append(f"the list of replicas was last read {now - listed_at} ms ago")
+    unanswered = sorted(i for i, replica in placement.replicas.items() if replica.unanswered)
+    if unanswered:
+        out.append("replicas that do not answer orders: " + ", ".join(unanswered))
     return out
 
 
-def status(m, now, listed=None):
-    x, g = leader(m), m.promised if m.leading or m.leader is None else m.leader.gen
-    d = {"role": "controller", "name": m.me.name, "zone": m.me.zone, "leads": m.leading}
-    d |= {"leader": x["name"] if x else None, "leader_address": x["http"] if x else None}
-    d |= {"generation": g.text(), "serial": int(m.book["serial"]), "holds": m.holds_at(now)}
-    d |= {"edition": edition(m), "evacuated": sorted(m.book["drains"])}
-    d |= {"fence": None if m.placing is None else int(m.placing)}
-    d |= {"list_age_ms": None if listed is None else now - listed}
-    d |= {"controllers": controllers(m, now), "proxies": proxies(m, now)}
-    d["keepers"] = d["controllers"]
-    d |= {"orders": orders(m, now) if m.placing is not None else []}
-    return {**d, "unsettled": unsettled(m, now, listed)}
-
-
-# placement
-
-
-def rate(p, now, item):
-    """Requests a second for an item, all zones."""
-    return sum(copy.copy(r).read(now) for r in p.rates.get(item, {}).values())
-
-
-def running(p, now, r):
-    return r.running * math.exp(-max(0, now - r.running_at) / demand.RUNS)
-
-
-def wants(m, now):
-    out = []
-    for i, w in m.placement.wants.items():
-        zones = {z: n for z, (n, _) in sorted(w.zones.items())}
-        out.append({"item": i, "age_ms": now - w.first, "waiting": sum(zones.values()), "zones": zones})
-    return sorted(out, key=lambda r: -r["age_ms"])
-
-
-def model(p, now, name, wanted):
-    zones, due, _ = p.hot.get(name, ((), None, 0))
-    copies = collections.Counter(x.zone for x in p.copies(name))
-    row = {"model": name, "copies": dict(sorted(copies.items())), "rate_s": round(rate(p, now, name), 2)}
-    row |= {"due": due, "due_zones": sorted(zones), "loading": sorted(p.coming.get(name, ()))}
-    return {**row, "wanted_ms": now - wanted[name] if name in wanted else None}
-
-
-def replica(p, now, x):
-    s = p.cat.services.get(x.service)
-    row = {"id": x.id, "service": x.service, "zone": x.zone, "state": x.state, "leaves_in_ms": x.leaves}
-    row |= {"room_mb": s.room if s else None, "used_mb": round(x.used(p.cat), 1)}
-    row |= {"slots": x.slots, "running": round(running(p, now, x), 1), "known": x.synced, "failed": x.dark}
-    return {**row, "models": x.shown(), "loading": x.coming()}
-
-
-def placement(m, now):
-    p = m.placement
-    wanted = {}
-    for i, w in p.wants.items():
-        name = i.partition("/")[0]
-        wanted[name] = min(w.first, wanted.get(name, w.first))
-    models = [model(p, now, n, wanted) for n in p.cat.homes]
-    models.sort(key=lambda r: (-r["rate_s"], r["model"]))
-    d = {"leader": m.me.name, "fence": None if m.placing is None else int(m.placing), "models": models}
-    d |= {"wants": wants(m, now), "loads": orders(m, now)}
-    return {**d, "replicas": [replica(p, now, p.reps[r]) for r in sorted(p.reps)]}
-
-
-# the rest
-
-
-def edition(m):
-    return (m.book["manifest"] or {}).get("edition", 0)
-
-
-def configuration(m, now):
-    doc = m.book["manifest"] or {}
-    services = doc.get("services", ())
-    models = sum(len((s.get("engine") or {}).get("models", ())) for s in services)
-    d = {"edition": edition(m), "serial": int(m.book["mserial"]), "routes": len(doc.get("routes", ()))}
-    d |= {"hosts": len({r["host"].lower() for r in doc.get("routes", ())})}
-    return {**d, "services": len(services), "models": models}
-
-
-def members(m, now):
-    return {"members": [{"role": "controller", **k} for k in controllers(m, now)]
-            + [{"role": "proxy", **p} for p in proxies(m, now)]}  # fmt: skip
-
-
-def samples(m, now, listed=None):
-    """(name, kind, help, labels, [(label values, value)]) for each family of metrics; what only the leader
-    knows comes from the leader alone."""
-
-    def one(name, help, value):
-        return f"basaltport_{name}", "gauge", help, (), [((), value)]
-
-    yield one("leads", "1 where this controller leads", int(m.leading))
-    yield one("holds", "1 where this controller leads and no other can", int(m.holds_at(now)))
-    yield one("led", "1 where a leader is heard, or it leads itself", int(leader(m) is not None))
-    yield one("serial", "Serial of the agreed book", int(m.book["serial"]))
-    yield one("edition", "Edition of the configuration in force", edition(m))
-    yield one("unsettled", "Reasons why this controller is not settled", len(unsettled(m, now, listed)))
-    if not m.leading:
-        return
-    ks = controllers(m, now)
-    votes = sum(k["votes"] for k in ks)
-    yield one("controllers", "Controllers that vote", votes)
-    yield one("keepers", "Former name of basaltport_controllers", votes)
-    late = sum(k["silent_ms"] is None or k["silent_ms"] > SLOW_SEAT for k in ks)
-    yield one("controllers_silent", "Controllers that do not answer", late)
-    yield one("keepers_silent", "Former name of basaltport_controllers_silent", late)
-    yield one("proxies", "Proxies that follow", len(m.proxies))
-    if listed is not None:
-        yield one("list_age_seconds", "Age of the list of replicas", (now - listed) / 1000)
-    if m.placing is None:
-        return
-    p = m.placement
-    yield one("wants", "Items that requests wait for", len(p.wants))
-    oldest = max((now - w.first for w in p.wants.values()), default=0)
-    yield one("want_age_seconds", "Age of the oldest of them", oldest / 1000)
-    yield one("orders", "Orders under way", len(p.active))
-    yield one("models_hot", "Models that are due more than one copy", len(p.hot))
-    lack = sum(max(0, due - len(p.copies(n))) for n, (_, due, _) in p.hot.items())
-    yield one("copies_lacking", "Copies that hot models lack", lack)
-    by = collections.Counter((x.service, x.zone, x.state) for x in p.reps.values())
-    rows = sorted(by.items())
-    yield "basaltport_replicas", "gauge", "Replicas on the list", ("service", "zone", "state"), rows
+def fence(node: Node) -> int | None:
+    """The fencing token that placement runs under, None while it does not run."""
+    return None if node.placement_fence is None else int(node.placement_fence)
+
+
+def status(node: Node, now: int, listed_at: int | None = None) -> Row:
+    """The page `status`. `keepers` is the former name of `controllers`."""
+    known = leader(node)
+    follows = not node.leading and node.leader is not None
+    term = node.leader.gen if follows else node.promised
+    page = {"role": "controller", "name": node.me.name, "zone": node.me.zone, "leads": node.leading}
+    page |= {"leader": known["name"] if known else None, "leader_address": known["http"] if known else None}
+    page |= {"generation": term.text(), "serial": int(node.book["serial"]), "holds": node.holds_at(now)}
+    page |= {"edition": edition(node), "evacuated": sorted(node.book["drains"])}
+    page |= {"fence": fence(node), "list_age_ms": None if listed_at is None else now - listed_at}
+    page["controllers"] = page["keepers"] = controllers(node, now)
+    page["proxies"] = proxies(node, now)
+    page["orders"] = [] if node.placement_fence is None else orders(node, now)
+    page["unsettled"] = unsettled(node, now, listed_at)
+    return page
+
+
+def edition(node: Node) -> int:
+    """The edition of the configuration in force; 0 while there is none."""
+    found: int = (node.book["manifest"] or {}).get("edition", 0)
+    return found
+
+
+def configuration(node: Node, now: int) -> Row:
+    """The page `configuration`: its edition, and counts of what it holds."""
+    document = node.book["manifest"] or {}
+    services = document.get("services", ())
+    routes = document.get("routes", ())
+    page = {"edition": edition(node), "serial": int(node.book["mserial"]), "routes": len(routes)}
+    page["hosts"] = len({route["host"].lower() for route in routes})
+    page["services"] = len(services)
+    page["models"] = sum(len((service.get("engine") or {}).get("models", ())) for service in services)
+    return page
+
+
+def members(node: Node, now: int) -> Row:
+    """The page `members`: controllers and proxies."""
+    rows = [{"role": "controller", **row} for row in controllers(node, now)]
+    return {"members": [*rows, *({"role": "proxy", **row} for row in proxies(node, now))]}
--- a/basaltport/fleet/publish.py
+++ b/basaltport/fleet/publish.py
@@ -103,7 +103,7 @@
     def hears_leader(self) -> bool:
         """Whether the leader was heard lately."""
 
-    def heard_use(self, zone: str, use: Row, load: Row) -> None:
+    def usage_heard(self, zone: str, use: Row, load: Row) -> None:
         """A proxy's use of items and replicas."""
 
 
@@ -171,7 +171,7 @@
         p.zone, p.address, p.at = m.zone, m.address, self.now
         self.hear_state(p, m)
         if m.use or m.load:
-            self.heard_use(m.zone, m.use, m.load)
+            self.usage_heard(m.zone, m.use, m.load)
         self.published = None
 
     def hear_state(self, p: Proxy, m: messages.Follow) -> None:
--- a/basaltport/model/standins.py
+++ b/basaltport/model/standins.py
@@ -6,6 +6,8 @@
 import basaltport.identifiers as identifiers
 import basaltport.member as member
 import basaltport.placement.effects as effects
+import basaltport.placement.model_status as model_status
+import basaltport.placement.order_types as order_types
 
 
 Row = dict[str, typing.Any]
@@ -47,7 +49,7 @@
                 i + 1,
                 identifiers.ReplicaId(r),
                 "a:1",
-                "load",
+                order_types.OrderKind.LOAD,
                 "m",
                 None,
                 self.holder,
@@ -71,9 +73,9 @@
         self.changed |= {i for i in rows.keys() | self.rows.keys() if rows.get(i) != self.rows.get(i)}
         self.rows = rows
 
-    def facts(self, now: int, item: str) -> Row:
-        """What a proxy is told of an item."""
-        return {"state": "loading", "retry_after_ms": 100}
+    def model_status(self, now: int, item: str) -> model_status.ModelStatus:
+        """Every item is loading."""
+        return model_status.ModelStatus(model_status.ModelState.LOADING, 100, 0, False, 0, -1)
 
     def __getattr__(self, name: str) -> typing.Callable[..., list[Effect]]:
         """Everything else is written down."""
--- a/basaltport/placement/__init__.py
+++ b/basaltport/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Which replica holds which models: what is wanted, chosen, ordered and known."""
+"""Which replica holds which models: decided by the leading controller, carried out by orders to replicas."""
--- a/basaltport/placement/catalog.py
+++ b/basaltport/placement/catalog.py
@@ -1,4 +1,4 @@
-"""The models of a configuration, by the service whose replicas may hold them."""
+"""The models of a configuration, by the service whose replicas may hold them. Sizes in MB, times in ms."""
 
 import typing
 
@@ -6,80 +6,87 @@
 
 
 class Model(typing.NamedTuple):
-    """`mb` are its weights, `load_ms` a load from the store, `adapters` the names of its adapters."""
+    """A model of a service."""
 
     name: str
-    mb: float
+    weights_mb: float
     load_ms: int
+    """What a load from the store of weights takes, as configured."""
     adapters: frozenset[str]
     adapter_mb: float
+    """The size of each of its adapters."""
 
 
 class Service(typing.NamedTuple):
-    """What a replica of the service has: `room` in MB, `places` for adapters; `rate` of loads a second."""
+    """What each replica of a service has room for."""
 
     name: str
     models: dict[str, Model]
-    room: float
-    places: int
+    memory_mb: float
+    """Room for weights and adapters."""
+    adapter_slots: int
     slots: int
-    rate: float
+    """Requests that a replica runs at once."""
+    loads_per_s: float
+    """The rate limit of the store of weights."""
 
 
 class Catalog:
-    """All services by name; `homes`: the services of each model."""
+    """All services by name; `services_of`: the services of each model."""
 
     def __init__(self, document: Document | None = None) -> None:
         """Read the services of a configuration that have an engine."""
         self.services: dict[str, Service] = {}
-        self.homes: dict[str, list[Service]] = {}
-        for s in (document or {}).get("services", ()):
-            e = s.get("engine")
-            if e:
-                self.services[s["name"]] = service(s["name"], e)
-        for known in self.services.values():
-            for m in known.models:
-                self.homes.setdefault(m, []).append(known)
-
-    def at(self, name: str, model: str) -> Model | None:
+        self.services_of: dict[str, list[Service]] = {}
+        for entry in (document or {}).get("services", ()):
+            engine = entry.get("engine")
+            if engine:
+                self.services[entry["name"]] = read_service(entry["name"], engine)
+        for service in self.services.values():
+            for model in service.models:
+                self.services_of.setdefault(model, []).append(service)
+
+    def model(self, service_name: str, model: str) -> Model | None:
         """A model of a service, if it has it."""
-        s = self.services.get(name)
-        return s.models.get(model) if s else None
+        service = self.services.get(service_name)
+        return service.models.get(model) if service else None
 
     def knows(self, item: str) -> bool:
         """Whether a service has the model or adapter."""
         model, _, adapter = item.partition("/")
-        homes = self.homes.get(model, ())
-        return any(not adapter or adapter in s.models[model].adapters for s in homes)
+        services = self.services_of.get(model, ())
+        return any(not adapter or adapter in s.models[model].adapters for s in services)
 
-    def size(self, name: str, model: str, adapter: str = "") -> float:
-        """In MB; what the configuration does not know counts as the largest of the service."""
-        s = self.services.get(name)
-        if s is None:
+    def size_mb(self, service_name: str, model_name: str, adapter: str = "") -> float:
+        """The size of a model or adapter; one that isn't configured counts as the service's largest."""
+        service = self.services.get(service_name)
+        if service is None:
             return 0.0
-        m = s.models.get(model)
-        if m is not None:
-            return m.adapter_mb if adapter else m.mb
+        model = service.models.get(model_name)
+        if model is not None:
+            return model.adapter_mb if adapter else model.weights_mb
         if adapter:
-            return max((m.adapter_mb for m in s.models.values()), default=0.0)
-        return max((m.mb for m in s.models.values()), default=s.room)
+            return max((m.adapter_mb for m in service.models.values()), default=0.0)
+        return max((m.weights_mb for m in service.models.values()), default=service.memory_mb)
 
 
-def service(name: str, e: Document) -> Service:
+def read_service(name: str, engine: Document) -> Service:
     """The service of an engine's part of the configuration."""
-    models = {}
-    for m in e.get("models", ()):
-        n = m.get("adapters", 0)
-        names = [f"a{k}" for k in range(1, int(n) + 1)] if isinstance(n, int | float) else n
-        load = int(m.get("load_s", 0) * 1000)
-        models[m["name"]] = Model(
-            m["name"], float(m.get("weights_mb", 0)), load, frozenset(names or ()), m.get("adapter_mb", 0.0)
-        )
     return Service(
         name,
-        models,
-        float(e.get("weights_mb", 0)),
-        int(e.get("adapter_slots", 0)),
-        int(e.get("slots", 1)),
-        float(e.get("loads_per_s", 0)),
+        {entry["name"]: read_model(entry) for entry in engine.get("models", ())},
+        float(engine.get("weights_mb", 0)),
+        int(engine.get("adapter_slots", 0)),
+        int(engine.get("slots", 1)),
+        float(engine.get("loads_per_s", 0)),
     )
+
+
+def read_model(entry: Document) -> Model:
+    """A model of an engine's part; `adapters` are names, or the count n of the names a1 to an."""
+    adapters = entry.get("adapters", 0)
+    if isinstance(adapters, int | float):
+        adapters = [f"a{number}" for number in range(1, int(adapters) + 1)]
+    load_ms = int(entry.get("load_s", 0) * 1000)
+    weights_mb = float(entry.get("weights_mb", 0))
+    return Model(entry["name"], weights_mb, load_ms, frozenset(adapters or ()), entry.get("adapter_mb", 0.0))
--- a/basaltport/placement/demand.py
+++ b/basaltport/placement/demand.py
@@ -4,77 +4,90 @@
 import typing
 
 import basaltport.placement.catalog as catalog
-import basaltport.placement.replica as replica
-
-SLOW = 8000
-FAST = 2000
-LATEST = 3000
-PERIOD = 400
-RUNS = 1000
-HOT = 3.0
-COOL = 1.5
-KNEE = 10
-LEAST = 2
-LONGEST = 1000
-PLACES = 0.6
-SERVICE = 600
-SERVICE_LEAST = 50
-SERVICE_MOST = 10_000
+import basaltport.placement.replica_state as replica_state
+
+SLOW_MS = 8000
+FAST_MS = 2000
+"""Rates are smoothed over both times; the lower one counts, so that one falls as soon as requests end."""
+QUIET_RATE = 3000
+"""A rate whose last request was t ms ago is at most this over t."""
+REPORT_MS = 400
+"""The time that each report of a proxy stands for."""
+RUNNING_MS = 1000
+"""Running requests are smoothed over this time."""
+HOT_RATE = 3.0
+"""A model is hot in a zone where it is asked for more often than this a second,"""
+COOL_RATE = 1.5
+"""until it is asked for less often than this."""
+MOST_RUNNING = 10
+"""A copy of a hot model should run no more requests than this at once: what runs together is slower."""
+LEAST_COPIES = 2
+LONGEST_MS = 1000
+"""Requests that run longer count as this long where copies are counted."""
+HOT_SHARE = 0.6
+"""The share of all memory that copies of hot models may be due."""
+SERVICE_MS = 600
+"""How long a request runs, as long as nothing was measured."""
+SERVICE_LEAST_MS = 50
+SERVICE_MOST_MS = 10_000
 BEGUN_LEAST = 5
-FORGET = 30_000
+"""Requests that must have begun before how long they run is measured."""
+FORGET_MS = 30_000
 NEVER_USED = -60_000
-USE_LEAST = 300
-USE_MOST = 2000
+IN_USE_LEAST_MS = 300
+IN_USE_MOST_MS = 2000
 
 
-class Hot(typing.NamedTuple):
-    """A model that is asked for much: in which zones, how many copies it is due, and its rate."""
+class HotModel(typing.NamedTuple):
+    """A model that is asked for much."""
 
     zones: set[str]
-    due: int
+    """Where it is asked for much."""
+    copies_due: int
     rate: float
+    """Requests a second, over all zones."""
 
 
 class Rate:
     """Requests a second; one that has been quiet for t s is at most 3 / t."""
 
-    __slots__ = ("slow", "fast", "at", "last")
+    __slots__ = ("slow", "fast", "at", "last_at")
 
     def __init__(self, now: int) -> None:
         """Nothing was asked for yet."""
         self.slow = self.fast = 0.0
-        self.at = self.last = now
+        self.at = self.last_at = now
 
     def fade(self, now: int) -> None:
         """Let what was counted fade up to a time."""
-        t = now - self.at
-        if t > 0:
-            self.slow *= math.exp(-t / SLOW)
-            self.fast *= math.exp(-t / FAST)
+        elapsed = now - self.at
+        if elapsed > 0:
+            self.slow *= math.exp(-elapsed / SLOW_MS)
+            self.fast *= math.exp(-elapsed / FAST_MS)
             self.at = now
 
-    def add(self, n: float, now: int) -> None:
+    def add(self, requests: float, now: int) -> None:
         """Count requests."""
         self.fade(now)
-        self.slow += n * 1000 / SLOW
-        self.fast += n * 1000 / FAST
-        self.last = now
+        self.slow += requests * 1000 / SLOW_MS
+        self.fast += requests * 1000 / FAST_MS
+        self.last_at = now
 
     def read(self, now: int) -> float:
         """Requests a second at a time."""
         self.fade(now)
-        return min(self.slow, self.fast, LATEST / max(1, now - self.last))
+        return min(self.slow, self.fast, QUIET_RATE / max(1, now - self.last_at))
 
 
 class DemandNeeds(typing.Protocol):
     """What `DemandMixin` needs of Placement."""
 
     now: int
-    cat: catalog.Catalog
-    zones: set[str]
-    reps: dict[str, replica.Replica]
+    catalog: catalog.Catalog
+    usable_zones: set[str]
+    replicas: dict[str, replica_state.Replica]
 
-    def usable(self, p: replica.Replica) -> bool:
+    def usable(self, replica: replica_state.Replica) -> bool:
         """Whether requests may go to a replica."""
 
 
@@ -91,110 +104,126 @@
 
     def demand_start(self) -> None:
         """Begin with nothing counted."""
-        self.rates: dict[str, dict[str, Rate]] = {}
-        self.last: dict[str, int] = {}
-        self.hot: dict[str, Hot] = {}
-        self.service_ms: float = SERVICE
-        self.begun = self.ran = 0.0
+        self.request_rates: dict[str, dict[str, Rate]] = {}
+        self.last_used: dict[str, int] = {}
+        self.hot_models: dict[str, HotModel] = {}
+        self.service_ms: float = SERVICE_MS
+        self.begun = self.run_ms = 0.0
         self.service_at = self.now
         self.copies_at = 0
 
-    def used(self, now: int, zone: str, items: dict[str, int], running: dict[str, int]) -> list[typing.Any]:
-        """A proxy's report: requests begun by item since its last, and its runs by replica."""
+    def usage_reported(
+        self, now: int, zone: str, items: dict[str, int], running: dict[str, int]
+    ) -> list[typing.Any]:
+        """A proxy's report: requests begun by item since its last one, and its running ones by replica."""
         self.now = now
-        for i, n in items.items():
-            self.last[i] = now
-            self.count(i, zone, n)
-            self.begun += n
-            model = i.partition("/")[0]
-            if model != i:
-                self.last[model] = now
-                self.count(model, zone, n)
-        for r, n in running.items():
-            p = self.reps.get(r)
-            if p is not None:
-                p.running = self.runs(p) + n * PERIOD / RUNS
-                self.ran += n * PERIOD
+        for item, requests in items.items():
+            self.last_used[item] = now
+            self.count(item, zone, requests)
+            self.begun += requests
+            model = item.partition("/")[0]
+            if model != item:
+                self.last_used[model] = now
+                self.count(model, zone, requests)
+        for replica_id, requests in running.items():
+            replica = self.replicas.get(replica_id)
+            if replica is not None:
+                replica.running = self.running_requests(replica) + requests * REPORT_MS / RUNNING_MS
+                self.run_ms += requests * REPORT_MS
         return []
 
-    def count(self, item: str, zone: str, n: int) -> None:
+    def count(self, item: str, zone: str, requests: int) -> None:
         """Count requests for an item in a zone."""
-        by = self.rates.setdefault(item, {})
-        if zone not in by:
-            by[zone] = Rate(self.now)
-        by[zone].add(n, self.now)
-
-    def runs(self, p: replica.Replica) -> float:
-        """Runs on a replica over all proxies, smoothed over the last second."""
-        t = self.now - p.running_at
-        if t > 0:
-            p.running *= math.exp(-t / RUNS)
-            p.running_at = self.now
-        return p.running
-
-    def rate(self, item: str) -> float:
+        by_zone = self.request_rates.setdefault(item, {})
+        if zone not in by_zone:
+            by_zone[zone] = Rate(self.now)
+        by_zone[zone].add(requests, self.now)
+
+    def running_requests(self, replica: replica_state.Replica) -> float:
+        """Requests that run on a replica, of all proxies, smoothed over the last second."""
+        elapsed = self.now - replica.running_at
+        if elapsed > 0:
+            replica.running *= math.exp(-elapsed / RUNNING_MS)
+            replica.running_at = self.now
+        return replica.running
+
+    def request_rate(self, item: str) -> float:
         """Requests a second over all zones."""
-        by = self.rates.get(item)
-        return sum(r.read(self.now) for r in by.values()) if by else 0.0
+        by_zone = self.request_rates.get(item)
+        return sum(rate.read(self.now) for rate in by_zone.values()) if by_zone else 0.0
+
+    def zone_rates(self, item: str) -> dict[str, float]:
+        """Requests a second in each zone that asks for it."""
+        rates = {zone: rate.read(self.now) for zone, rate in self.request_rates.get(item, {}).items()}
+        return {zone: rate for zone, rate in rates.items() if rate > 0}
 
-    def idle(self, item: str) -> int:
-        """For how many ms nobody has asked for it."""
-        return self.now - self.last.get(item, NEVER_USED)
+    def idle_ms(self, item: str) -> int:
+        """For how long nobody has asked for it."""
+        return self.now - self.last_used.get(item, NEVER_USED)
 
     def in_use(self, item: str) -> bool:
         """Whether runs of it are likely to go on."""
-        return self.idle(item) < min(USE_MOST, max(USE_LEAST, 1.5 * self.service_ms))
+        return self.idle_ms(item) < min(IN_USE_MOST_MS, max(IN_USE_LEAST_MS, 1.5 * self.service_ms))
 
-    def look(self) -> None:
+    def find_hot_models(self) -> None:
         """Which models are hot, in which zones, and how many copies each is due."""
-        hot: dict[str, Hot] = {}
-        for item, by in list(self.rates.items()):
-            if all(self.now - r.last > FORGET for r in by.values()):
-                del self.rates[item]
+        hot: dict[str, HotModel] = {}
+        for item, by_zone in list(self.request_rates.items()):
+            if all(self.now - rate.last_at > FORGET_MS for rate in by_zone.values()):
+                del self.request_rates[item]
                 continue
-            if "/" in item or sum(r.slow for r in by.values()) < COOL:
+            if "/" in item or sum(rate.slow for rate in by_zone.values()) < COOL_RATE:
                 continue
-            found = self.hot_now(item, by)
+            found = self.hot_model(item, by_zone)
             if found is not None:
                 hot[item] = found
-        self.learn_service()
-        self.hot = self.within(hot)
+        self.measure_service_time()
+        self.hot_models = self.within_memory(hot)
 
-    def hot_now(self, item: str, by: dict[str, Rate]) -> Hot | None:
+    def hot_model(self, model: str, by_zone: dict[str, Rate]) -> HotModel | None:
         """How hot a model is, None where it is not; one that was hot stays so down to a lower rate."""
-        rates = {z: r.read(self.now) for z, r in by.items()}
+        rates = {zone: rate.read(self.now) for zone, rate in by_zone.items()}
         total = sum(rates.values())
-        was = self.hot.get(item)
-        busy = {z for z, n in rates.items() if n > (COOL if was and z in was.zones else HOT)}
-        zones = {z for z in busy if z in self.zones}
-        if not zones and total <= (2 * COOL if was else 2 * HOT):
+        former = self.hot_models.get(model)
+        busy = {
+            zone
+            for zone, n in rates.items()
+            if n > (COOL_RATE if former and zone in former.zones else HOT_RATE)
+        }
+        zones = {zone for zone in busy if zone in self.usable_zones}
+        if not zones and total <= (2 * COOL_RATE if former else 2 * HOT_RATE):
             return None
-        return Hot(zones, self.due_copies(item, zones, total), total)
-
-    def within(self, hot: dict[str, Hot]) -> dict[str, Hot]:
-        """No more than PLACES of what fits everywhere is due to hot models, the hottest first."""
-        room = sum(
-            self.cat.services[p.service].room for p in self.reps.values() if p.engine and self.usable(p)
+        return HotModel(zones, self.copies_due(model, zones, total), total)
+
+    def within_memory(self, hot: dict[str, HotModel]) -> dict[str, HotModel]:
+        """No more than HOT_SHARE of all memory is due to hot models, the hottest first."""
+        memory_mb = sum(
+            self.catalog.services[replica.service].memory_mb
+            for replica in self.replicas.values()
+            if replica.has_engine and self.usable(replica)
         )
-        out: dict[str, Hot] = {}
-        left = PLACES * room
-        for m, (zones, due, rate) in sorted(hot.items(), key=lambda x: -x[1].rate):
-            mb = max((s.models[m].mb for s in self.cat.homes.get(m, ())), default=1)
-            due = max(1, min(due, int(left // mb)))
-            left = max(0, left - due * mb)
-            out[m] = Hot(zones, due, rate)
+        out: dict[str, HotModel] = {}
+        left = HOT_SHARE * memory_mb
+        for model, found in sorted(hot.items(), key=lambda entry: -entry[1].rate):
+            services = self.catalog.services_of.get(model, ())
+            weights_mb = max((s.models[model].weights_mb for s in services), default=1)
+            copies = max(1, min(found.copies_due, int(left // weights_mb)))
+            left = max(0, left - copies * weights_mb)
+            out[model] = HotModel(found.zones, copies, found.rate)
         return out
 
-    def learn_service(self) -> None:
-        """How long a request runs, in ms: runs seen over requests begun, each report standing for PERIOD."""
+    def measure_service_time(self) -> None:
+        """How long a request runs: time that was seen running over requests begun; old figures fade."""
         if self.begun > BEGUN_LEAST:
-            self.service_ms = min(SERVICE_MOST, max(SERVICE_LEAST, self.ran / self.begun))
-        f = math.exp((self.service_at - self.now) / SLOW)
-        self.begun, self.ran, self.service_at = self.begun * f, self.ran * f, self.now
-
-    def due_copies(self, item: str, zones: set[str], rate: float) -> int:
-        """One in each zone that asks much, and so many that each copy runs KNEE or fewer: far below its
-        slots, since what runs together slows all of it."""
-        slots = min((s.slots for s in self.cat.homes.get(item, ())), default=1)
-        runs = math.ceil(rate * min(LONGEST, self.service_ms) / 1000 / min(KNEE, slots))
-        return max(LEAST, len(zones), runs)
+            self.service_ms = min(SERVICE_MOST_MS, max(SERVICE_LEAST_MS, self.run_ms / self.begun))
+        fading = math.exp((self.service_at - self.now) / SLOW_MS)
+        self.begun *= fading
+        self.run_ms *= fading
+        self.service_at = self.now
+
+    def copies_due(self, model: str, zones: set[str], rate: float) -> int:
+        """One in each zone that asks much, and so many that each copy runs MOST_RUNNING or fewer: far below
+        its slots, since what runs together slows all of it."""
+        slots = min((s.slots for s in self.catalog.services_of.get(model, ())), default=1)
+        running = rate * min(LONGEST_MS, self.service_ms) / 1000
+        return max(LEAST_COPIES, len(zones), math.ceil(running / min(MOST_RUNNING, slots)))
--- a/basaltport/placement/effects.py
+++ b/basaltport/placement/effects.py
@@ -1,9 +1,10 @@
-"""What Placement asks of its shell. Every one is answered by a call: `listed` or `list_failed`, `ordered`,
-`reported`."""
+"""What Placement asks of its owner. Each effect is answered by a call: `List` by `listed` or `list_failed`,
+`Order` by `ordered`, `Report` by `reported`."""
 
 import typing
 
 import basaltport.identifiers as identifiers
+import basaltport.placement.order_types as order_types
 
 
 class List(typing.NamedTuple):
@@ -11,18 +12,21 @@
 
 
 class Order(typing.NamedTuple):
-    """`order` numbers it; `kind` is load or unload; `adapter` is None for a model; `expected` is the count of
-    orders the replica should have taken so far, None where that is not known."""
+    """Have a replica load or unload a model or adapter."""
 
     order: int
+    """Numbers the orders of one executor."""
     replica: identifiers.ReplicaId
     address: str
-    kind: str
+    kind: order_types.OrderKind
     model: str
     adapter: str | None
+    """None where the order is about the model itself."""
     holder: str
+    """The name of the controller that sends the order."""
     fence: identifiers.Fence
     expected: int | None = None
+    """How many orders the replica should have taken so far; None where that is not known."""
 
 
 class Report(typing.NamedTuple):
@@ -30,3 +34,6 @@
 
     replica: identifiers.ReplicaId
     address: str
+
+
+Effect = List | Order | Report
--- a/basaltport/placement/machine.py
+++ b/basaltport/placement/machine.py
@@ -1,337 +1,386 @@
-"""Which replica holds which models: a state machine owned by the controller that leads."""
+"""Which replica holds which models: a state machine owned by the controller that leads.
+
+Requests that wait come first, by how long and how many they are; an adapter goes to a replica with its model.
+Hot models get copies in the zones that ask for them, taken from what few ask for. Each replica works on one
+plan at a time: unloads that make room, then one load.
+"""
 
 import collections.abc
 import random
 
 import basaltport.placement.catalog as catalog
-import basaltport.placement.choose as choose
 import basaltport.placement.demand as demand
-import basaltport.placement.facts as facts
-import basaltport.placement.listing as listing
-import basaltport.placement.orders as orders
-import basaltport.placement.replica as replica
+import basaltport.placement.model_status as model_status
+import basaltport.placement.order_types as order_types
+import basaltport.placement.plan_execution as plan_execution
+import basaltport.placement.replica_choice as replica_choice
+import basaltport.placement.replica_inventory as replica_inventory
+import basaltport.placement.replica_state as replica_state
 import basaltport.placement.state as state
-import basaltport.placement.store as store
-import basaltport.placement.wants as wants
-
-HOLD = 3700
-WANTED = 1500
-SILENT = 600
-COPY_EVERY = 200
-ADOPT = 5000
+import basaltport.placement.token_bucket as token_bucket
+import basaltport.placement.waiting_items as waiting_items
+
+HOLD_MS = 3700
+"""After a change of leader, until no order of the former one can arrive any more."""
+WAITING_MS = 1500
+"""An item that no proxy has named for so long is not waited for any more."""
+SILENT_MS = 600
+"""A replica whose order is unanswered for so long is not counted on."""
+COPIES_EVERY_MS = 200
+RESTORE_MS = 5000
+"""For so long a model in use whose only copy was lost is brought back unasked."""
+HOT_PLANS_SHARE = 3
+"""No more than one replica in so many loads copies that hot models lack,"""
+SPARE_PLANS_SHARE = 6
+"""and no more than one in so many copies that are only of use."""
 NEVER = -(10**9)
 
 
 class Placement(
-    orders.OrdersMixin, listing.ListingMixin, choose.ChooseMixin, demand.DemandMixin, facts.FactsMixin
+    plan_execution.PlanExecutionMixin,
+    replica_inventory.ReplicaInventoryMixin,
+    replica_choice.ReplicaChoiceMixin,
+    demand.DemandMixin,
+    model_status.ModelStatusMixin,
 ):
     """Every call gives a list of effects (`effects`). `rows` by replica id; `changed` ids since it was last
     emptied by the owner. Times in ms; `hold_ms` after `start` nothing is ordered, `list_ms` between lists.
     `may_order(replica id)`, set by the owner: whether an order there can be sent now."""
 
-    def __init__(self, rng: random.Random, hold_ms: int = HOLD, list_ms: int = listing.EVERY) -> None:
+    def __init__(
+        self, rng: random.Random, hold_ms: int = HOLD_MS, list_ms: int = replica_inventory.LIST_INTERVAL_MS
+    ) -> None:
         """Nothing is known; `start` begins."""
         self.rng = rng
         self.hold_ms = hold_ms
-        self.every = list_ms
-        self.cat = catalog.Catalog()
-        self.drains: set[str] = set()
-        self.took: dict[tuple[str, str], list[int]] = {}
-        self.order_n = 0
+        self.list_interval_ms = list_ms
+        self.catalog = catalog.Catalog()
+        self.evacuated_zones: set[str] = set()
+        self.load_durations: dict[tuple[str, str], list[int]] = {}
+        self.last_order = 0
         self.now = 0
-        self.may_order: collections.abc.Callable[[str], bool] = lambda rid: True
-        self.rows: dict[str, state.Row] = {}
+        self.may_order: collections.abc.Callable[[str], bool] = lambda replica_id: True
+        self.rows: dict[str, state.Document] = {}
         self.changed: set[str] = set()
         self.clear()
 
     def clear(self) -> None:
         """Forget all but the configuration and how long loads took."""
-        self.on = self.deposed = False
+        self.leading = self.deposed = False
         self.out: state.Effects = []
-        self.reps: dict[str, replica.Replica] = {}
-        self.holders: dict[str, set[str]] = {}
-        self.coming: dict[str, set[str]] = {}
-        self.active: dict[str, replica.Replica] = {}
-        self.orders: dict[int, str] = {}
-        self.gone: dict[str, int] = {}
-        self.wants: dict[str, wants.Want] = {}
-        self.wanted_models: collections.abc.Collection[str] = ()
-        self.chore_rate: dict[str, demand.Rate] = {}
-        self.zones: set[str] = set()
-        self.seen: set[str] = set()
-        self.orphans: dict[str, int] = {}
-        self.list_out, self.list_at = False, NEVER
-        self.known = self.dirty = False
         self.changed |= set(self.rows)
         self.rows = {}
-        self.buckets: dict[str, store.Bucket] = {}
-        self.permits: dict[str, float] = {}
-        self.disks: dict[str, set[str]] = {}
-        self.ready_at = 0
+        self.orders_from = 0
+        self.clear_replicas()
+        self.clear_waiting()
         self.demand_start()
 
+    def clear_replicas(self) -> None:
+        """Forget all replicas, what they hold and what was ordered."""
+        self.replicas: dict[str, replica_state.Replica] = {}
+        self.holders: dict[str, set[str]] = {}
+        self.disk_copies: dict[str, set[str]] = {}
+        self.loading_on: dict[str, set[str]] = {}
+        self.working: dict[str, replica_state.Replica] = {}
+        self.in_flight: dict[int, str] = {}
+        self.gone_at: dict[str, int] = {}
+        self.known_ids: set[str] = set()
+        self.usable_zones: set[str] = set()
+        self.list_pending, self.list_requested_at = False, NEVER
+        self.list_known = self.needs_placing = False
+
+    def clear_waiting(self) -> None:
+        """Forget what is asked for, and the permits of the stores."""
+        self.waiting: dict[str, waiting_items.WaitingItem] = {}
+        self.awaited_models: collections.abc.Collection[str] = ()
+        self.adapter_loads: dict[str, demand.Rate] = {}
+        self.lost_models: dict[str, int] = {}
+        self.store_buckets: dict[str, token_bucket.TokenBucket] = {}
+        self.permits: dict[str, float] = {}
+
     def start(self, now: int, fence: int, holder: str, hold_ms: int | None = None) -> state.Effects:
-        """This controller leads, under a fence."""
+        """This controller, of the name `holder`, leads under a fencing token."""
         self.clear()
-        self.now, self.on = now, True
+        self.now, self.leading = now, True
         self.fence, self.holder = fence, holder
-        self.ready_at = now + (self.hold_ms if hold_ms is None else hold_ms)
-        self.fill_buckets()
-        self.ask_list()
+        self.orders_from = now + (self.hold_ms if hold_ms is None else hold_ms)
+        self.update_buckets()
+        self.request_list()
         return self.out
 
     def stop(self) -> state.Effects:
         """It leads no longer; nothing is sent any more."""
-        self.on = False
+        self.leading = False
         self.out = []
         return []
 
     def configure(
-        self, now: int, document: state.Row | None, drains: collections.abc.Iterable[str]
+        self, now: int, document: state.Document | None, evacuated_zones: collections.abc.Iterable[str]
     ) -> state.Effects:
         """Another configuration, or other evacuated zones."""
         self.now, self.out = now, []
-        self.cat, self.drains = catalog.Catalog(document), set(drains)
-        self.fill_buckets()
-        for p in self.reps.values():
-            p.engine = p.service in self.cat.services
-            self.show(p)
-        self.zones = {p.zone for p in self.reps.values() if self.may_serve(p)}
-        self.dirty = True
-        if self.on:
+        self.catalog, self.evacuated_zones = catalog.Catalog(document), set(evacuated_zones)
+        self.update_buckets()
+        for replica in self.replicas.values():
+            replica.has_engine = replica.service in self.catalog.services
+            self.update_row(replica)
+        self.find_usable_zones()
+        self.needs_placing = True
+        if self.leading:
             self.place()
         return self.out
 
-    def fill_buckets(self) -> None:
+    def update_buckets(self) -> None:
         """A bucket of permits for each service, at its rate."""
-        for s in self.cat.services.values():
-            if s.name not in self.buckets:
-                self.buckets[s.name] = store.Bucket(s.rate, max(self.now, self.ready_at))
-            self.buckets[s.name].change(s.rate, self.now)
+        for service in self.catalog.services.values():
+            if service.name not in self.store_buckets:
+                begins = max(self.now, self.orders_from)
+                self.store_buckets[service.name] = token_bucket.TokenBucket(service.loads_per_s, begins)
+            self.store_buckets[service.name].change_rate(service.loads_per_s, self.now)
 
     def count_permits(self) -> None:
         """How many loads from each store may be begun now, beside those already planned."""
-        self.permits = {n: b.fill(self.now) for n, b in self.buckets.items()}
-        for p in self.active.values():
-            if any(s.store and s.paid is None for s in p.steps()):
-                self.permits[p.service] -= 1
+        self.permits = {name: bucket.fill(self.now) for name, bucket in self.store_buckets.items()}
+        for replica in self.working.values():
+            if any(step.from_store and step.permit_at is None for step in replica.steps()):
+                self.permits[replica.service] -= 1
 
     def tick(self, now: int) -> state.Effects:
         """Do what is due by now."""
         self.now, self.out = now, []
-        if not self.on:
+        if not self.leading:
             return []
-        self.ask_list()
-        self.ask_reports()
-        self.check()
-        if now - self.copies_at >= COPY_EVERY:
+        self.request_list()
+        self.request_reports()
+        self.continue_plans()
+        if now - self.copies_at >= COPIES_EVERY_MS:
             self.copies_at = now
-            self.look()
+            self.find_hot_models()
             self.place()
-            self.copy()
-        elif self.wants or self.dirty:
+            self.add_copies()
+        elif self.waiting or self.needs_placing:
             self.place()
         return self.out
 
     def due(self) -> int:
         """When the next tick has something to do, in ms; orders are sent again at their times only if the
         owner ticks then."""
-        at = [s.at for p in self.active.values() for s in p.steps()[:1] if not s.order]
-        at += [p.ask_at for p in self.reps.values() if p.engine and not p.synced and p.asked is None]
-        at.append(self.list_at + (listing.PATIENCE if self.list_out else self.every))
-        if self.wants and self.free():
-            at += [t for t in (b.ready(self.now) for b in self.buckets.values()) if t and t > self.now]
-        return min(at) if self.now >= self.ready_at else min(at[-1], self.ready_at)
+        list_ms = replica_inventory.ANSWER_LIMIT_MS if self.list_pending else self.list_interval_ms
+        list_due = self.list_requested_at + list_ms
+        if self.now < self.orders_from:
+            return min(list_due, self.orders_from)
+        times = [list_due]
+        times += [s.due_at for r in self.working.values() for s in r.steps()[:1] if not s.order]
+        for replica in self.replicas.values():
+            if replica.has_engine and not replica.verified and replica.report_requested_at is None:
+                times.append(replica.report_at)
+        if self.waiting and self.free_replicas():
+            ready = [bucket.ready_at(self.now) for bucket in self.store_buckets.values()]
+            times += [time for time in ready if time and time > self.now]
+        return min(times)
 
-    # wants
+    # requests that wait
 
-    def wanted(self, now: int, zone: str, items: dict[str, int]) -> state.Effects:
-        """Requests in a zone wait for items."""
+    def requests_waiting(self, now: int, zone: str, items: dict[str, int]) -> state.Effects:
+        """Requests in a zone wait for items; `items`: how many, by item."""
         self.now, self.out = now, []
-        if not self.on:
+        if not self.leading:
             return []
-        for i, n in items.items():
-            if n <= 0 or not self.cat.knows(i):
+        for item, requests in items.items():
+            if requests <= 0 or not self.catalog.knows(item):
                 continue
-            w = self.wants.get(i)
-            if w is None:
-                w = self.wants[i] = wants.Want(now)
-            w.last = now
-            w.zones[zone] = (n, now)
+            waiting = self.waiting.get(item)
+            if waiting is None:
+                waiting = self.waiting[item] = waiting_items.WaitingItem(now)
+            waiting.last_at = now
+            waiting.zones[zone] = waiting_items.WaitingCount(requests, now)
         self.place()
         return self.out
 
-    def prune(self) -> None:
-        """Drop wants that are over: told no more, or held since."""
-        for i, w in list(self.wants.items()):
-            if self.now - w.last > WANTED:
-                del self.wants[i]
+    def drop_served(self) -> None:
+        """Drop items that are waited for no more: named no more, or held since."""
+        for item, waiting in list(self.waiting.items()):
+            if self.now - waiting.last_at > WAITING_MS:
+                del self.waiting[item]
                 continue
-            if len(w.zones) > 1:
-                w.zones = {z: v for z, v in w.zones.items() if self.now - v[1] <= WANTED}
-            on = self.copies(i)
-            if not on:
-                w.extra = self.now
-            elif w.another(self.now) and w.last > w.extra:
+            if len(waiting.zones) > 1:
+                waiting.forget_before(self.now - WAITING_MS)
+            copies = self.copies(item)
+            if not copies:
+                waiting.extra_copy_at = self.now
+            elif waiting.needs_extra_copy(self.now) and waiting.last_at > waiting.extra_copy_at:
                 continue
-            elif w.last <= max(self.since(p, i) for p in on):
-                del self.wants[i]
-        self.wanted_models = {i.partition("/")[0] for i in self.wants}
+            elif waiting.last_at <= max(self.held_since(replica, item) for replica in copies):
+                del self.waiting[item]
+        self.awaited_models = {item.partition("/")[0] for item in self.waiting}
 
     def place(self) -> None:
-        """Begins plans for what is wanted: adapters first, since they take ms, then models by rank."""
-        self.dirty = False
-        if self.now < self.ready_at:
+        """Begin plans for what is waited for: adapters first, since they take ms, then models by rank."""
+        self.needs_placing = False
+        if self.now < self.orders_from:
             return
-        self.feed()
-        if not self.wants:
-            self.wanted_models = ()
+        self.add_hot_copies()
+        if not self.waiting:
+            self.awaited_models = ()
             return
-        self.prune()
-        free = self.free()
+        self.drop_served()
+        free = self.free_replicas()
         if not free:
             return
         self.count_permits()
-        for m, zones in self.models_wanted(free).items():
+        for model, requests in self.awaited_by_rank(free).items():
             if not free:
                 return
-            if not self.underway(m):
-                self.place_model(m, zones, free, True)
+            if not self.is_loading(model):
+                self.place_model(model, requests, free, True)
 
-    def models_wanted(self, free: list[replica.Replica]) -> dict[str, dict[str, float]]:
+    def awaited_by_rank(self, free: list[replica_state.Replica]) -> dict[str, dict[str, float]]:
         """Who waits for models, by zone and in the order of rank; adapters get their plans on the way."""
         models: dict[str, dict[str, float]] = {}
-        for i, w in sorted(self.wants.items(), key=lambda x: -x[1].rank(self.now)):
-            held = self.held(i)
-            if held and not w.another(self.now) or self.underway(i):
+        for item, waiting in sorted(self.waiting.items(), key=lambda entry: -entry[1].rank(self.now)):
+            held = self.is_held(item)
+            if held and not waiting.needs_extra_copy(self.now) or self.is_loading(item):
                 continue
-            model = i.partition("/")[0]
-            if model != i and self.held(model):
-                self.place_adapter(i, w, free)
+            model = item.partition("/")[0]
+            if model != item and self.is_held(model):
+                self.place_adapter(item, waiting, free)
                 continue
             if held:
-                w.more(self.now)
-            by = models.setdefault(model, {})
-            for z, n in w.waiting().items():
-                by[z] = by.get(z, 0) + n
+                waiting.extra_copy_begun(self.now)
+            by_zone = models.setdefault(model, {})
+            for zone, requests in waiting.requests_by_zone().items():
+                by_zone[zone] = by_zone.get(zone, 0) + requests
         return models
 
-    def place_adapter(self, item: str, w: wants.Want, free: list[replica.Replica]) -> None:
+    def place_adapter(
+        self, item: str, waiting: waiting_items.WaitingItem, free: list[replica_state.Replica]
+    ) -> None:
         """Begin a load of an adapter where its model is, if a replica there is free."""
-        got = self.pick_adapter(item, w.waiting(), free)
-        if got is None:
+        choice = self.choose_for_adapter(item, waiting.requests_by_zone(), free)
+        if choice is None:
             return
         model = item.partition("/")[0]
-        w.more(self.now)
-        self.chore_rate.setdefault(model, demand.Rate(self.now)).add(1, self.now)
-        free.remove(got.replica)
-        self.begin(got.replica, item, [*got.out, self.load(got.replica, item)], True)
-
-    def underway(self, item: str) -> bool:
-        """Whether a replica that answers is loading it."""
-        return any(self.answers(self.reps[r]) for r in self.coming.get(item, ()))
-
-    def answers(self, p: replica.Replica) -> bool:
-        """Whether a replica with a plan answers its orders."""
-        s = p.next_step()
-        return (
-            p.dark == 0
-            and self.usable(p)
-            and self.may_order(p.id)
-            and not (s.order and self.now - s.out > SILENT)
-        )
-
-    def load(self, p: replica.Replica, item: str) -> replica.Step:
-        """The step that loads an item there."""
-        model, _, adapter = item.partition("/")
-        return replica.Step(replica.LOAD, model, adapter, model in p.disk)
+        waiting.extra_copy_begun(self.now)
+        self.adapter_loads.setdefault(model, demand.Rate(self.now)).add(1, self.now)
+        free.remove(choice.replica)
+        self.begin(choice.replica, item, [*choice.unloads, self.load_step(choice.replica, item)], True)
 
     def place_model(
         self,
         model: str,
-        zones: state.Waiting,
-        free: list[replica.Replica],
-        asked: bool,
-        most: float | None = None,
+        requests: state.RequestsByZone,
+        free: list[replica_state.Replica],
+        on_demand: bool,
+        cost_limit: float | None = None,
     ) -> bool:
         """Begin a load of a model on the best replica, if any may take it."""
-        got = self.pick(model, zones, free, most)
-        if got is None:
+        choice = self.choose_for_model(model, requests, free, cost_limit)
+        if choice is None:
             return False
-        p = got.replica
-        free.remove(p)
-        last = self.load(p, model)
-        self.permits[p.service] -= last.store
-        self.begin(p, model, [*(replica.Step(replica.UNLOAD, m) for m in got.out), last], asked)
+        replica = choice.replica
+        free.remove(replica)
+        load = self.load_step(replica, model)
+        self.permits[replica.service] -= load.from_store
+        unloads = [replica_state.Step(order_types.OrderKind.UNLOAD, name) for name in choice.unloads]
+        self.begin(replica, model, [*unloads, load], on_demand)
         return True
 
+    def load_step(self, replica: replica_state.Replica, item: str) -> replica_state.Step:
+        """The step that loads an item there."""
+        model, _, adapter = item.partition("/")
+        return replica_state.Step(order_types.OrderKind.LOAD, model, adapter, model in replica.disk_models)
+
+    def is_loading(self, item: str) -> bool:
+        """Whether a replica that answers is loading it."""
+        return any(self.answers(self.replicas[i]) for i in self.loading_on.get(item, ()))
+
+    def answers(self, replica: replica_state.Replica) -> bool:
+        """Whether a replica with a plan answers its orders."""
+        step = replica.next_step()
+        return (
+            replica.unanswered == 0
+            and self.usable(replica)
+            and self.may_order(replica.id)
+            and not (step.order and self.now - step.sent_at > SILENT_MS)
+        )
+
     # copies
 
-    def feed(self) -> None:
+    def plans_not_on_demand(self) -> int:
+        """How many replicas load copies that nobody waits for."""
+        plans = [replica.plan for replica in self.working.values()]
+        return sum(1 for plan in plans if plan and not plan.on_demand)
+
+    def add_hot_copies(self) -> None:
         """Hot models with too few copies go before what is cold: many wait for each of them."""
-        if self.now < self.ready_at or not self.hot:
+        if self.now < self.orders_from or not self.hot_models:
             return
-        short = []
-        for m, (_, due, rate) in self.hot.items():
-            n = len(self.copies(m)) + sum(1 for r in self.coming.get(m, ()) if self.answers(self.reps[r]))
-            if n < due:
-                short.append((rate / (n + 0.1), m, n))
-        if not short:
+        lacking = self.lacking_copies()
+        if not lacking:
             return
         self.count_permits()
-        free = self.free()
-        left = max(1, len(self.reps) // 3) - sum(
-            1 for p in self.active.values() if p.plan and not p.plan.asked
-        )
-        for _, m, n in sorted(short, reverse=True):
+        free = self.free_replicas()
+        left = max(1, len(self.replicas) // HOT_PLANS_SHARE) - self.plans_not_on_demand()
+        for _, model, copies in sorted(lacking, reverse=True):
             if left < 1 or not free:
                 return
-            zones = self.hot[m][0]
-            have = {p.zone for p in self.copies(m)}
-            where = self.spread(m, [z for z in zones if z not in have], have, free, n) or free
-            weights = {z: r.read(self.now) for z, r in self.rates.get(m, {}).items() if r.read(self.now) > 0}
-            left -= self.place_model(m, weights, where, False, choose.HUNGRY)
-            free = [p for p in free if p.plan is None]
-
-    def copy(self) -> None:
+            served = {replica.zone for replica in self.copies(model)}
+            unserved = [zone for zone in self.hot_models[model].zones if zone not in served]
+            where = self.best_places(unserved, served, free, copies) or free
+            limit = replica_choice.HOT_COST_LIMIT
+            left -= self.place_model(model, self.zone_rates(model), where, False, limit)
+            free = [replica for replica in free if replica.plan is None]
+
+    def lacking_copies(self) -> list[tuple[float, str, int]]:
+        """Hot models with too few copies: requests a second for each copy, name, copies here or coming."""
+        lacking = []
+        for model, hot in self.hot_models.items():
+            loading = [self.replicas[i] for i in self.loading_on.get(model, ())]
+            copies = len(self.copies(model)) + sum(1 for replica in loading if self.answers(replica))
+            if copies < hot.copies_due:
+                lacking.append((hot.rate / (copies + 0.1), model, copies))
+        return lacking
+
+    def add_copies(self) -> None:
         """Copies of hot models where their demand is, taken from what few ask for."""
-        if self.now < self.ready_at or not (self.hot or self.orphans):
+        if self.now < self.orders_from or not (self.hot_models or self.lost_models):
             return
         self.count_permits()
-        waiting = any(not self.held(i) and not self.underway(i) for i in self.wants)
-        free = self.free()
-        most = max(1, len(self.reps) // 6)
-        n = sum(1 for p in self.active.values() if p.plan and not p.plan.asked)
-        for m, (zones, due, _) in sorted(self.hot.items(), key=lambda x: -x[1][2]):
-            on = [p for p in self.copies(m)]
-            to = [self.reps[r] for r in self.coming.get(m, ())]
-            have = {p.zone for p in on + to}
-            if waiting and on or n >= most or not free:
+        unserved = any(not self.is_held(i) and not self.is_loading(i) for i in self.waiting)
+        free = self.free_replicas()
+        most = max(1, len(self.replicas) // SPARE_PLANS_SHARE)
+        plans = self.plans_not_on_demand()
+        for model, hot in sorted(self.hot_models.items(), key=lambda entry: -entry[1].rate):
+            copies = self.copies(model)
+            loading = [self.replicas[i] for i in self.loading_on.get(model, ())]
+            served = {replica.zone for replica in copies + loading}
+            if unserved and copies or plans >= most or not free:
                 continue
-            lack = [z for z in zones if z not in have]
-            if not lack and len(on) + len(to) >= due:
+            lacking = [zone for zone in hot.zones if zone not in served]
+            total = len(copies) + len(loading)
+            if not lacking and total >= hot.copies_due:
                 continue
-            where = self.spread(m, lack, have, free, len(on) + len(to))
-            weights = {z: r.read(self.now) for z, r in self.rates.get(m, {}).items() if r.read(self.now) > 0}
-            n += self.place_model(m, weights, where, False, choose.SOFT)
-            free = [p for p in free if p.plan is None]
+            where = self.best_places(lacking, served, free, total)
+            limit = replica_choice.SPARE_COST_LIMIT
+            plans += self.place_model(model, self.zone_rates(model), where, False, limit)
+            free = [replica for replica in free if replica.plan is None]
+        self.restore_lost_models(free)
 
-        self.adopt(free)
-
-    def adopt(self, free: list[replica.Replica]) -> None:
+    def restore_lost_models(self, free: list[replica_state.Replica]) -> None:
         """Models in use whose only copy was lost come back before they are asked for."""
-        for m, t in list(self.orphans.items()):
-            if self.now - t > ADOPT or self.held(m) or self.underway(m):
-                del self.orphans[m]
-            elif free and self.place_model(m, {}, free, False, choose.SOFT):
-                del self.orphans[m]
-
-    def spread(
-        self, m: str, lack: list[str], have: set[str], free: list[replica.Replica], n: int
-    ) -> list[replica.Replica]:
-        """Of the free replicas those where a further copy helps most."""
-        if lack:
-            return [p for p in free if p.zone in lack]
-        if n < demand.LEAST:
-            return [p for p in free if p.zone not in have] or free
+        for model, lost_at in list(self.lost_models.items()):
+            if self.now - lost_at > RESTORE_MS or self.is_held(model) or self.is_loading(model):
+                del self.lost_models[model]
+            elif free and self.place_model(model, {}, free, False, replica_choice.SPARE_COST_LIMIT):
+                del self.lost_models[model]
+
+    def best_places(
+        self, lacking: list[str], served: set[str], free: list[replica_state.Replica], copies: int
+    ) -> list[replica_state.Replica]:
+        """Of the free replicas those where a further copy helps most: in a zone that lacks one, else, as long
+        as there are few copies, in a zone that has none."""
+        if lacking:
+            return [replica for replica in free if replica.zone in lacking]
+        if copies < demand.LEAST_COPIES:
+            return [replica for replica in free if replica.zone not in served] or free
         return free
--- /dev/null
+++ b/basaltport/placement/order_types.py
@@ -0,0 +1,29 @@
+"""The kinds of orders to replicas, and what may come of one; the values are those of the wire."""
+
+import enum
+
+
+class OrderKind(enum.StrEnum):
+    """What a replica is to do with a model or adapter."""
+
+    LOAD = "load"
+    UNLOAD = "unload"
+
+
+class OrderOutcome(enum.StrEnum):
+    """What a replica answered to an order."""
+
+    ACCEPTED = "accepted"
+    """The order runs; sent again, it is answered with how it stands."""
+    DONE = "done"
+    """The order is done, now or earlier."""
+    BUSY = "busy"
+    """Another order runs there; this one was not taken."""
+    FENCED = "fenced"
+    """The replica knows a higher fencing token; this one was not taken."""
+    FAILED = "failed"
+    """The order was refused, or surely not taken."""
+    UNKNOWN = "unknown"
+    """No answer came: it may have been taken."""
+    MOVED = "moved"
+    """Another replica has the address, or the model of the adapter is not there."""
--- /dev/null
+++ b/basaltport/placement/plan_execution.py
@@ -0,0 +1,349 @@
+"""Carrying out plans: one order at a time on a replica, sent again until it is done. Times in ms."""
+
+import collections.abc
+import enum
+import typing
+
+import basaltport.identifiers as identifiers
+import basaltport.placement.effects as effects
+import basaltport.placement.order_types as order_types
+import basaltport.placement.replica_choice as replica_choice
+import basaltport.placement.replica_state as replica_state
+import basaltport.placement.state as state
+
+UNLOAD_FIRST_MS = 15
+UNLOAD_RETRY_MS = 30
+ADAPTER_FIRST_MS = 8
+ADAPTER_RETRY_MS = 15
+RETRY_MOST_MS = 250
+"""Retries that back off wait no longer than this, unless they began with more."""
+RETRY_GROWTH = 1.4
+ANSWER_LIMIT_MS = 5000
+"""An order that the owner has not answered by then counts as one without an answer."""
+UNKNOWN_RETRY_MS = 100
+UNKNOWN_RETRY_MOST_MS = 1000
+UNKNOWN_DOUBLINGS = 4
+PERMIT_MS = 250
+"""For so long a permit of the store's counts for a load that is sent again."""
+FAILED_BAR_MS = 5000
+MOVED_BAR_MS = 1000
+DURATIONS_KEPT = 20
+FIRST_LOAD_SHARE = 0.97
+"""A load is asked about first after this share of what one in four takes less than."""
+LOAD_RETRY_SHARE = 0.05
+LOAD_RETRY_LEAST_MS = 15
+LOAD_RETRY_MOST_MS = 120
+
+
+class Verdict(enum.StrEnum):
+    """What to do with a step that was not sent yet."""
+
+    GO = "go"
+    """Send its order."""
+    SKIP = "skip"
+    """It is so already."""
+    DROP = "drop"
+    """Give up the whole plan."""
+
+
+if typing.TYPE_CHECKING:
+    Needs = state.State
+else:
+    Needs = object
+
+
+class PlanExecutionMixin(Needs):
+    """Sends the orders of plans and takes their outcomes."""
+
+    def begin(
+        self, replica: replica_state.Replica, goal: str, steps: list[replica_state.Step], on_demand: bool
+    ) -> None:
+        """Give a replica a plan and send its first order."""
+        replica.plan = replica_state.Plan(goal, steps, on_demand, self.now)
+        self.working[replica.id] = replica
+        for item in replica.loading():
+            self.loading_on.setdefault(item, set()).add(replica.id)
+        self.update_row(replica)
+        self.continue_plan(replica)
+
+    def drop_plan(self, replica: replica_state.Replica) -> None:
+        """Give up a replica's plan."""
+        for item in replica.loading():
+            self.stop_loading(replica, item)
+        for step in replica.steps():
+            self.in_flight.pop(step.order, None)
+        replica.plan = None
+        self.working.pop(replica.id, None)
+        self.needs_placing = True
+        self.update_row(replica)
+
+    def stop_loading(self, replica: replica_state.Replica, item: str) -> None:
+        """An item is not on its way there any more."""
+        replica_ids = self.loading_on.get(item)
+        if replica_ids:
+            replica_ids.discard(replica.id)
+            if not replica_ids:
+                del self.loading_on[item]
+
+    def continue_plan(self, replica: replica_state.Replica) -> None:
+        """Send the next order of the replica's plan if it is time."""
+        while replica.plan and replica.plan.steps:
+            step = replica.plan.steps[0]
+            if step.order or self.now < step.due_at or not self.may_order(replica.id):
+                return
+            verdict = Verdict.GO if step.first_sent_at is not None else self.fit(replica, step)
+            if verdict == Verdict.DROP:
+                self.drop_plan(replica)
+                return
+            if verdict == Verdict.GO:
+                if self.take_permit(replica, step):
+                    self.send_order(replica, step)
+                return
+            replica.plan.steps.pop(0)
+            if step.kind == order_types.OrderKind.LOAD:
+                self.stop_loading(replica, step.item)
+        if replica.plan:
+            self.drop_plan(replica)
+
+    def fit(self, replica: replica_state.Replica, step: replica_state.Step) -> Verdict:
+        """What to do with a step that was not sent yet."""
+        plan = replica.plan
+        if not self.usable(replica) or not replica.verified or plan is None or not self.still_needed(plan):
+            return Verdict.DROP
+        loaded = replica.models.get(step.model)
+        there = loaded is not None and (not step.adapter or step.adapter in loaded.adapters)
+        if step.kind == order_types.OrderKind.UNLOAD:
+            return Verdict.GO if there else Verdict.SKIP
+        if there:
+            return Verdict.SKIP
+        return Verdict.GO if self.has_room(replica, step, loaded) else Verdict.DROP
+
+    def has_room(
+        self,
+        replica: replica_state.Replica,
+        step: replica_state.Step,
+        loaded: replica_state.LoadedModel | None,
+    ) -> bool:
+        """Whether a load is possible by the configuration and what is held there."""
+        model = self.catalog.model(replica.service, step.model)
+        if model is None:
+            return False
+        if step.adapter and (loaded is None or loaded.unloading or step.adapter not in model.adapters):
+            return False
+        service = self.catalog.services[replica.service]
+        needed_mb = model.adapter_mb if step.adapter else model.weights_mb
+        if replica.used_mb(self.catalog) + needed_mb > service.memory_mb:
+            return False
+        return not step.adapter or replica.adapters_held() < service.adapter_slots
+
+    def still_needed(self, plan: replica_state.Plan) -> bool:
+        """Whether requests still wait for what an on-demand plan is for."""
+        return not plan.on_demand or plan.goal in self.waiting or plan.goal in self.awaited_models
+
+    def take_permit(self, replica: replica_state.Replica, step: replica_state.Step) -> bool:
+        """A load that may begin at the store takes a permit, also when it is sent again unanswered. Without
+        one the step is due when the next permit will be there."""
+        if not step.from_store or step.accepted:
+            return True
+        if step.permit_at is not None and self.now - step.permit_at < PERMIT_MS:
+            return True
+        bucket = self.store_buckets[replica.service]
+        if bucket.take(self.now):
+            step.permit_at = self.now
+            return True
+        step.due_at = bucket.ready_at(self.now) or self.now + RETRY_MOST_MS
+        return False
+
+    def send_order(self, replica: replica_state.Replica, step: replica_state.Step) -> None:
+        """Send the order of a step."""
+        self.last_order += 1
+        step.order, step.sent_at = self.last_order, self.now
+        if step.first_sent_at is None:
+            step.first_sent_at = self.now
+            if step.kind == order_types.OrderKind.UNLOAD:
+                self.hide_item(replica, step)
+        self.in_flight[step.order] = replica.id
+        order = effects.Order(
+            step.order,
+            replica.id,
+            replica.address,
+            step.kind,
+            step.model,
+            step.adapter or None,
+            self.holder,
+            identifiers.Fence(self.fence),
+        )
+        self.out.append(order)
+
+    def hide_item(self, replica: replica_state.Replica, step: replica_state.Step) -> None:
+        """What is to be unloaded gets no requests any more."""
+        loaded = replica.models[step.model]
+        if step.adapter:
+            loaded.unloading_adapters.add(step.adapter)
+            self.stop_serving(replica, step.item)
+        else:
+            loaded.unloading = True
+            for adapter in loaded.adapters:
+                self.stop_serving(replica, f"{step.model}/{adapter}")
+            self.stop_serving(replica, step.model)
+        self.update_row(replica)
+
+    def show_item(self, replica: replica_state.Replica, step: replica_state.Step) -> None:
+        """What was to be unloaded gets requests again."""
+        loaded = replica.models.get(step.model)
+        if loaded is None:
+            return
+        loaded.unloading_adapters.discard(step.adapter)
+        loaded.unloading = loaded.unloading and bool(step.adapter)
+        self.index_items(replica)
+
+    def ordered(self, now: int, order: int, outcome: str, took_ms: int = 0) -> state.Effects:
+        """What came of an order; `took_ms`: how long its answer took."""
+        self.now, self.out = now, []
+        replica = self.replicas.get(self.in_flight.pop(order, ""))
+        if not self.leading or replica is None or replica.plan is None:
+            return []
+        step = replica.plan.steps[0]
+        if step.order != order:
+            return []
+        step.order = 0
+        result = order_types.OrderOutcome(outcome)
+        if result is order_types.OrderOutcome.FENCED:
+            self.deposed = True
+            return self.stop()
+        if result is not order_types.OrderOutcome.UNKNOWN:
+            replica.unanswered = 0
+        self.outcome_handlers()[result](replica, step)
+        if self.needs_placing:
+            self.place()
+        return self.out
+
+    def outcome_handlers(
+        self,
+    ) -> dict[
+        order_types.OrderOutcome,
+        collections.abc.Callable[[replica_state.Replica, replica_state.Step], None],
+    ]:
+        """What is done with each outcome but FENCED."""
+        return {
+            order_types.OrderOutcome.ACCEPTED: self.order_accepted,
+            order_types.OrderOutcome.DONE: self.order_done,
+            order_types.OrderOutcome.BUSY: self.order_refused_as_busy,
+            order_types.OrderOutcome.FAILED: self.order_failed,
+            order_types.OrderOutcome.UNKNOWN: self.order_unanswered,
+            order_types.OrderOutcome.MOVED: self.order_for_another,
+        }
+
+    def order_accepted(self, replica: replica_state.Replica, step: replica_state.Step) -> None:
+        """The order runs; it is sent again for its end."""
+        if step.accepted:
+            self.back_off(step)
+            return
+        step.accepted = True
+        step.due_at = self.now + self.first_wait_ms(replica, step)
+        step.retry_ms = self.retry_wait_ms(replica, step)
+
+    def back_off(self, step: replica_state.Step) -> None:
+        """Send it again, each time a little later."""
+        step.due_at = self.now + int(step.retry_ms)
+        step.retry_ms = min(max(RETRY_MOST_MS, step.retry_ms), step.retry_ms * RETRY_GROWTH)
+
+    def order_refused_as_busy(self, replica: replica_state.Replica, step: replica_state.Step) -> None:
+        """Another order runs there: this one's former sending, or one that is not known here."""
+        if step.accepted or step.uncertain:
+            step.retry_ms = step.retry_ms or UNLOAD_RETRY_MS
+            self.back_off(step)
+            return
+        self.distrust(replica)
+        if step.kind == order_types.OrderKind.UNLOAD:
+            self.show_item(replica, step)
+        self.drop_plan(replica)
+
+    def order_unanswered(self, replica: replica_state.Replica, step: replica_state.Step) -> None:
+        """No answer came."""
+        step.uncertain = True
+        replica.unanswered += 1
+        backoff_ms = UNKNOWN_RETRY_MS << min(UNKNOWN_DOUBLINGS, replica.unanswered - 1)
+        step.due_at = self.now + min(UNKNOWN_RETRY_MOST_MS, backoff_ms)
+        if replica.unanswered == replica_choice.UNANSWERED_LIMIT:
+            self.needs_placing = True
+
+    def order_failed(self, replica: replica_state.Replica, step: replica_state.Step) -> None:
+        """The order was refused, or surely not taken."""
+        replica.barred_until[step.item] = self.now + FAILED_BAR_MS
+        if replica.plan:
+            replica.barred_until[replica.plan.goal] = self.now + FAILED_BAR_MS
+        if step.kind == order_types.OrderKind.UNLOAD:
+            self.show_item(replica, step)
+        self.distrust(replica)
+        self.drop_plan(replica)
+
+    def order_for_another(self, replica: replica_state.Replica, step: replica_state.Step) -> None:
+        """Another replica has the address, or the model of the adapter is not there."""
+        if not step.adapter:
+            self.remove(replica)
+            return
+        replica.barred_until[step.item] = self.now + MOVED_BAR_MS
+        self.show_item(replica, step)
+        self.distrust(replica)
+        self.drop_plan(replica)
+
+    def order_done(self, replica: replica_state.Replica, step: replica_state.Step) -> None:
+        """The order is done."""
+        replica.steps().pop(0)
+        replica.changed_at[step.item] = self.now
+        if step.kind == order_types.OrderKind.LOAD:
+            if step.accepted and not step.uncertain and step.first_sent_at is not None:
+                self.note_duration(replica, step, self.now - step.first_sent_at)
+            self.stop_loading(replica, step.item)
+            self.add_item(replica, step.model, step.adapter)
+        else:
+            self.remove_item(replica, step.model, step.adapter)
+        self.update_row(replica)
+        self.continue_plan(replica)
+
+    # how long loads take
+
+    def load_class(self, service: str, step: replica_state.Step) -> tuple[str, str]:
+        """Loads of one class take about as long."""
+        weights = "disk" if step.from_disk else "store"
+        return service, "adapter" if step.adapter else weights
+
+    def note_duration(
+        self, replica: replica_state.Replica, step: replica_state.Step, duration_ms: int
+    ) -> None:
+        """Keep how long a load took."""
+        durations = self.load_durations.setdefault(self.load_class(replica.service, step), [])
+        durations.append(duration_ms)
+        del durations[:-DURATIONS_KEPT]
+
+    def first_wait_ms(self, replica: replica_state.Replica, step: replica_state.Step) -> int:
+        """When to ask first for the end of an order."""
+        if step.kind == order_types.OrderKind.UNLOAD:
+            return UNLOAD_FIRST_MS
+        if step.adapter:
+            return ADAPTER_FIRST_MS
+        durations = sorted(self.load_durations.get(self.load_class(replica.service, step), ()))
+        if durations:
+            return int(durations[len(durations) // 4] * FIRST_LOAD_SHARE)
+        return int(self.load_ms(replica.service, step.model, step.from_disk))
+
+    def retry_wait_ms(self, replica: replica_state.Replica, step: replica_state.Step) -> float:
+        """How long to wait before asking again."""
+        if step.kind == order_types.OrderKind.UNLOAD:
+            return UNLOAD_RETRY_MS
+        if step.adapter:
+            return ADAPTER_RETRY_MS
+        wait_ms = self.load_ms(replica.service, step.model, step.from_disk) * LOAD_RETRY_SHARE
+        return min(LOAD_RETRY_MOST_MS, max(LOAD_RETRY_LEAST_MS, wait_ms))
+
+    def continue_plans(self) -> None:
+        """Send orders that are due again, also those that the owner has not answered for too long."""
+        for replica in list(self.working.values()):
+            steps = replica.steps()
+            step = steps[0] if steps else None
+            if step and step.order and self.now - step.sent_at > ANSWER_LIMIT_MS:
+                self.in_flight.pop(step.order, None)
+                step.order = 0
+                self.order_unanswered(replica, step)
+            self.continue_plan(replica)
--- /dev/null
+++ b/basaltport/placement/replica_inventory.py
@@ -0,0 +1,271 @@
+"""What each replica holds, by the platform's list and the replicas' reports, and how far they are believed.
+
+A list or report tells what was true some time before it came. It is believed of all that no order has changed
+since; what it lacks is taken away once two lists in a row, or one report, lacked it.
+"""
+
+import typing
+
+import basaltport.identifiers as identifiers
+import basaltport.placement.effects as effects
+import basaltport.placement.replica_rows as replica_rows
+import basaltport.placement.replica_state as replica_state
+import basaltport.placement.state as state
+
+LIST_INTERVAL_MS = 700
+LIST_LAG_MS = 1500
+"""A list may be as old as this."""
+REPORT_LAG_MS = 600
+"""A report may be as old as this."""
+ANSWER_LIMIT_MS = 3000
+"""A list or report that has not come by then is asked for again."""
+GONE_MS = 3000
+"""For so long a replica that went is not taken back from a list."""
+LOST_RATE = 0.1
+"""A model that is asked for more often than this a second comes back when its last copy is lost."""
+REPORT_BACKOFF_MOST_MS = 1000
+
+
+if typing.TYPE_CHECKING:
+    Needs = state.State
+else:
+    Needs = object
+
+
+class ReplicaInventoryMixin(Needs):
+    """Takes lists and reports, and knows what each replica holds."""
+
+    now: int
+    out: state.Effects
+    list_pending: bool
+    list_requested_at: int
+    gone_at: dict[str, int]
+    usable_zones: set[str]
+    list_known: bool
+    needs_placing: bool
+
+    # the list
+
+    def request_list(self) -> None:
+        """Ask for the list if it is time."""
+        if self.list_pending and self.now - self.list_requested_at > ANSWER_LIMIT_MS:
+            self.list_pending = False
+        if self.list_pending or self.now - self.list_requested_at < self.list_interval_ms:
+            return
+        self.list_pending, self.list_requested_at = True, self.now
+        self.out.append(effects.List())
+
+    def listed(self, now: int, rows: list[state.Document]) -> state.Effects:
+        """The list was read: its rows."""
+        self.now, self.out = now, []
+        if not self.leading:
+            return []
+        as_of = (self.list_requested_at if self.list_pending else now) - LIST_LAG_MS
+        self.list_pending = False
+        listed = {}
+        for row in rows:
+            if now - self.gone_at.get(row["id"], -GONE_MS) >= GONE_MS:
+                listed[row["id"]] = row
+        for replica in [replica for replica in self.replicas.values() if replica.id not in listed]:
+            self.remove(replica, False)
+        for row in listed.values():
+            self.take_row(replica_rows.ListedReplica.read(row), as_of)
+        self.gone_at = {i: at for i, at in self.gone_at.items() if now - at < GONE_MS}
+        self.find_usable_zones()
+        self.list_known = True
+        self.needs_placing = True
+        self.request_reports()
+        self.place()
+        return self.out
+
+    def find_usable_zones(self) -> None:
+        """Note the zones that have a replica which may serve."""
+        self.usable_zones = {r.zone for r in self.replicas.values() if self.may_serve(r)}
+
+    def list_failed(self, now: int) -> state.Effects:
+        """The list could not be read."""
+        self.now, self.list_pending = now, False
+        return []
+
+    def take_row(self, listed: replica_rows.ListedReplica, as_of: int) -> None:
+        """Take what a row of the list says, which was true at `as_of`."""
+        known = self.replicas.get(listed.id)
+        replica = known or self.add_replica(listed.id, as_of)
+        replica.take_listing(listed, listed.service in self.catalog.services)
+        if replica.has_engine and not replica.report_requested_at:
+            self.take_models(replica, listed.models, as_of, 1 if known else 0)
+        self.update_row(replica)
+
+    def add_replica(self, replica_id: identifiers.ReplicaId, as_of: int) -> replica_state.Replica:
+        """A replica that was not known; one that was known once is asked what it holds."""
+        replica = self.replicas[replica_id] = replica_state.Replica(replica_id)
+        replica.verified = as_of >= self.orders_from
+        if replica.id in self.known_ids:
+            self.distrust(replica)
+        self.known_ids.add(replica.id)
+        replica.running_at = self.now
+        return replica
+
+    def take_models(
+        self, replica: replica_state.Replica, models: replica_rows.Models, as_of: int, tolerated: int
+    ) -> None:
+        """Take what a list or report of `as_of` says of what was not changed since; what it lacks goes once
+        it was missed more than `tolerated` times in a row."""
+        busy = {step.model for step in replica.steps()}
+        for model, adapters in models.items():
+            self.note_weights_on_disk(replica, model)
+            if model not in busy and replica.changed_at.get(model, as_of) <= as_of:
+                self.take_model(replica, model, adapters, as_of)
+        before, replica.missed = replica.missed, {}
+        for model, adapter in self.missed_items(replica, models, as_of, busy):
+            times = before.get((model, adapter), 0) + 1
+            if times > tolerated:
+                self.remove_item(replica, model, adapter)
+            else:
+                replica.missed[model, adapter] = times
+        replica.changed_at = {item: at for item, at in replica.changed_at.items() if at > as_of}
+
+    def take_model(self, replica: replica_state.Replica, model: str, adapters: list[str], as_of: int) -> None:
+        """A replica holds a model, and those adapters of it that were not changed since."""
+        if model not in replica.models:
+            self.add_item(replica, model)
+        for adapter in adapters:
+            known = adapter in replica.models[model].adapters
+            if not known and replica.changed_at.get(f"{model}/{adapter}", as_of) <= as_of:
+                self.add_item(replica, model, adapter)
+
+    def missed_items(
+        self, replica: replica_state.Replica, models: replica_rows.Models, as_of: int, busy: set[str]
+    ) -> list[tuple[str, str]]:
+        """What is held by all that is known here, not changed since `as_of`, and not in `models`."""
+        out = []
+        for model, loaded in replica.models.items():
+            if model in busy or replica.changed_at.get(model, as_of) > as_of:
+                continue
+            if model not in models:
+                out.append((model, ""))
+                continue
+            for adapter, since in loaded.adapters.items():
+                changed_at = replica.changed_at.get(f"{model}/{adapter}", since)
+                if adapter not in models[model] and changed_at <= as_of:
+                    out.append((model, adapter))
+        return out
+
+    # reports
+
+    def distrust(self, replica: replica_state.Replica) -> None:
+        """Nothing is ordered there until a report, younger than the last order, tells what it holds."""
+        replica.verified, replica.report_requested_at = False, None
+        replica.report_at = self.now + REPORT_LAG_MS
+        replica.report_backoff_ms = replica_state.REPORT_BACKOFF_MS
+
+    def request_reports(self) -> None:
+        """Ask replicas that are not verified for their reports."""
+        if self.now < self.orders_from:
+            return
+        for replica in self.replicas.values():
+            if replica.verified or not replica.has_engine:
+                continue
+            requested_at = replica.report_requested_at
+            if requested_at is not None and self.now - requested_at > ANSWER_LIMIT_MS:
+                requested_at = replica.report_requested_at = None
+            if requested_at is None and self.now >= replica.report_at and self.may_order(replica.id):
+                replica.report_requested_at = self.now
+                self.out.append(effects.Report(replica.id, replica.address))
+
+    def reported(self, now: int, replica_id: str, answered: bool, report: state.Document) -> state.Effects:
+        """A replica reported, or did not answer."""
+        self.now, self.out = now, []
+        replica = self.replicas.get(replica_id)
+        if not self.leading or replica is None or replica.report_requested_at is None:
+            return []
+        requested_at, replica.report_requested_at = replica.report_requested_at, None
+        replica.report_at = now + replica.report_backoff_ms
+        replica.report_backoff_ms = min(REPORT_BACKOFF_MOST_MS, replica.report_backoff_ms * 2)
+        if not answered:
+            replica.unanswered += 1
+            self.update_row(replica)
+            return []
+        replica.unanswered = 0
+        found = replica_rows.ReplicaReport.read(report)
+        self.take_models(replica, found.models, requested_at - REPORT_LAG_MS, 0)
+        if not found.busy:
+            replica.verified = True
+            self.needs_placing = True
+        self.update_row(replica)
+        self.place()
+        return self.out
+
+    def remove(self, replica: replica_state.Replica, moved: bool = True) -> None:
+        """A replica is gone, or its address is another's; one that `moved` isn't soon taken from a list."""
+        if replica.plan:
+            self.drop_plan(replica)
+        for model in replica.serving():
+            if not self.holders[model] - {replica.id} and self.request_rate(model) > LOST_RATE:
+                self.lost_models[model] = self.now
+        for model in list(replica.models):
+            self.remove_item(replica, model)
+        for model in replica.disk_models:
+            self.disk_copies[model].discard(replica.id)
+        del self.replicas[replica.id]
+        if moved:
+            self.gone_at[replica.id] = self.now
+        if self.rows.pop(replica.id, None) is not None:
+            self.changed.add(replica.id)
+        self.needs_placing = True
+
+    # what is held
+
+    def add_item(self, replica: replica_state.Replica, model: str, adapter: str = "") -> None:
+        """A replica holds a model or adapter."""
+        loaded = replica.models.get(model)
+        if loaded is None:
+            loaded = replica.models[model] = replica_state.LoadedModel(self.now)
+            self.note_weights_on_disk(replica, model)
+        if adapter:
+            loaded.adapters[adapter] = self.now
+            loaded.unloading_adapters.discard(adapter)
+        self.index_items(replica)
+
+    def note_weights_on_disk(self, replica: replica_state.Replica, model: str) -> None:
+        """A replica has the weights of a model on its disk."""
+        replica.disk_models.add(model)
+        self.disk_copies.setdefault(model, set()).add(replica.id)
+
+    def remove_item(self, replica: replica_state.Replica, model: str, adapter: str = "") -> None:
+        """A replica holds a model or adapter no more."""
+        loaded = replica.models.get(model)
+        if loaded is None:
+            return
+        if adapter:
+            loaded.adapters.pop(adapter, None)
+            loaded.unloading_adapters.discard(adapter)
+            self.stop_serving(replica, f"{model}/{adapter}")
+            return
+        for name in loaded.adapters:
+            self.stop_serving(replica, f"{model}/{name}")
+        del replica.models[model]
+        self.stop_serving(replica, model)
+
+    def index_items(self, replica: replica_state.Replica) -> None:
+        """Requests for what a replica serves may go there."""
+        for model, adapters in replica.serving().items():
+            self.holders.setdefault(model, set()).add(replica.id)
+            for adapter in adapters:
+                self.holders.setdefault(f"{model}/{adapter}", set()).add(replica.id)
+
+    def stop_serving(self, replica: replica_state.Replica, item: str) -> None:
+        """Requests for an item go there no more."""
+        replica_ids = self.holders.get(item)
+        if replica_ids:
+            replica_ids.discard(replica.id)
+            if not replica_ids:
+                del self.holders[item]
+
+    def update_row(self, replica: replica_state.Replica) -> None:
+        """Make the feed's row of a replica anew; times alone do not make it a changed one."""
+        row = replica_rows.feed_row(replica.listed, replica.serving(), replica.loading())
+        former = self.rows.get(replica.id)
+        self.rows[replica.id] = row
+        if former is None or not replica_rows.same_but_for_times(former, row):
+            self.changed.add(replica.id)
--- a/basaltport/placement/state.py
+++ b/basaltport/placement/state.py
@@ -1,4 +1,4 @@
-"""What the parts of Placement share: its state, and what they ask of each other."""
+"""What the parts of Placement share: its state, and what they call of each other. Times in ms."""
 
 import collections.abc
 import random
@@ -6,108 +6,129 @@
 
 import basaltport.placement.catalog as catalog
 import basaltport.placement.demand as demand
-import basaltport.placement.replica as replica
-import basaltport.placement.store as store
-import basaltport.placement.wants as wants
+import basaltport.placement.effects as effects
+import basaltport.placement.replica_state as replica_state
+import basaltport.placement.token_bucket as token_bucket
+import basaltport.placement.waiting_items as waiting_items
 
-Effects = list[typing.Any]
-Row = dict[str, typing.Any]
-Waiting = collections.abc.Mapping[str, float]
-Models = dict[str, list[str]]
+Effects = list[effects.Effect]
+Document = dict[str, typing.Any]
+RequestsByZone = collections.abc.Mapping[str, float]
 
 
 class State(typing.Protocol):
     """The state of Placement, and the methods of one part that another calls."""
 
     rng: random.Random
-    hold_ms: int
-    every: int
-    cat: catalog.Catalog
-    drains: set[str]
-    took: dict[tuple[str, str], list[int]]
-    order_n: int
     now: int
+    hold_ms: int
+    """For how long after the start nothing is ordered."""
+    list_interval_ms: int
+    catalog: catalog.Catalog
+    evacuated_zones: set[str]
+    load_durations: dict[tuple[str, str], list[int]]
+    """How long the last loads took, by service and kind of load."""
+    last_order: int
+    """The number of the last order."""
     may_order: collections.abc.Callable[[str], bool]
-    rows: dict[str, Row]
+    """Whether an order to a replica can be sent now."""
+    rows: dict[str, Document]
+    """The feed's rows of replicas, by id."""
     changed: set[str]
-    on: bool
+    """Ids of the rows that changed since the owner last emptied it."""
+    leading: bool
     deposed: bool
+    """Whether a replica knows a higher fencing token."""
     out: Effects
-    reps: dict[str, replica.Replica]
+    replicas: dict[str, replica_state.Replica]
     holders: dict[str, set[str]]
-    coming: dict[str, set[str]]
-    active: dict[str, replica.Replica]
-    orders: dict[int, str]
-    gone: dict[str, int]
-    wants: dict[str, wants.Want]
-    wanted_models: collections.abc.Collection[str]
-    chore_rate: dict[str, demand.Rate]
-    zones: set[str]
-    seen: set[str]
-    orphans: dict[str, int]
-    list_out: bool
-    list_at: int
-    known: bool
-    dirty: bool
-    buckets: dict[str, store.Bucket]
+    """The ids of the replicas where requests for an item may go."""
+    loading_on: dict[str, set[str]]
+    """The ids of the replicas that load an item."""
+    working: dict[str, replica_state.Replica]
+    """The replicas that have a plan."""
+    in_flight: dict[int, str]
+    """The replica of each order that is not answered."""
+    gone_at: dict[str, int]
+    """When replicas went, so that a list that is late does not bring them back."""
+    waiting: dict[str, waiting_items.WaitingItem]
+    awaited_models: collections.abc.Collection[str]
+    """The models of all items that requests wait for."""
+    adapter_loads: dict[str, demand.Rate]
+    """How often adapters of a model are loaded."""
+    usable_zones: set[str]
+    known_ids: set[str]
+    """The ids of all replicas that were ever listed."""
+    lost_models: dict[str, int]
+    """Models in use whose only copy was lost, and when."""
+    list_pending: bool
+    list_requested_at: int
+    list_known: bool
+    needs_placing: bool
+    """Whether something changed that may let a plan begin."""
+    store_buckets: dict[str, token_bucket.TokenBucket]
     permits: dict[str, float]
-    disks: dict[str, set[str]]
-    ready_at: int
+    """How many loads from the store of each service may be begun now."""
+    disk_copies: dict[str, set[str]]
+    """The ids of the replicas with a model's weights on their disks."""
+    orders_from: int
+    """When orders may begin."""
     fence: int
     holder: str
-    rates: dict[str, dict[str, demand.Rate]]
-    hot: dict[str, demand.Hot]
+    request_rates: dict[str, dict[str, demand.Rate]]
+    """Requests a second for an item, by zone."""
+    hot_models: dict[str, demand.HotModel]
 
     def stop(self) -> Effects:
         """Send nothing any more."""
 
     def place(self) -> None:
-        """Begin plans for what is wanted."""
+        """Begin plans for what requests wait for."""
 
-    def usable(self, p: replica.Replica) -> bool:
+    def usable(self, replica: replica_state.Replica) -> bool:
         """Whether requests may go to a replica."""
 
-    def may_serve(self, p: replica.Replica) -> bool:
+    def may_serve(self, replica: replica_state.Replica) -> bool:
         """Whether a replica is ready, stays, and is in no evacuated zone."""
 
-    def held(self, item: str) -> bool:
+    def is_held(self, item: str) -> bool:
         """Whether a usable replica serves it."""
 
-    def copies(self, item: str) -> list[replica.Replica]:
+    def copies(self, item: str) -> list[replica_state.Replica]:
         """The usable replicas that serve it."""
 
-    def rate(self, item: str) -> float:
+    def request_rate(self, item: str) -> float:
         """Requests a second."""
 
-    def idle(self, item: str) -> int:
-        """For how many ms nobody has asked for it."""
+    def idle_ms(self, item: str) -> int:
+        """For how long nobody has asked for it."""
 
     def in_use(self, item: str) -> bool:
         """Whether runs of it are likely to go on."""
 
-    def load_ms(self, service: str, model: str, disk: bool) -> float:
+    def load_ms(self, service: str, model: str, from_disk: bool) -> float:
         """What a load is likely to take."""
 
-    def show(self, p: replica.Replica) -> None:
+    def update_row(self, replica: replica_state.Replica) -> None:
         """Make the feed's row of a replica anew."""
 
-    def drop(self, p: replica.Replica) -> None:
+    def drop_plan(self, replica: replica_state.Replica) -> None:
         """Give up a replica's plan."""
 
-    def doubt(self, p: replica.Replica) -> None:
+    def distrust(self, replica: replica_state.Replica) -> None:
         """Order nothing there until a report tells what it holds."""
 
-    def lose(self, p: replica.Replica, moved: bool = True) -> None:
+    def remove(self, replica: replica_state.Replica, moved: bool = True) -> None:
         """A replica is gone, or its address is another's."""
 
-    def hold(self, p: replica.Replica, model: str, adapter: str = "") -> None:
+    def add_item(self, replica: replica_state.Replica, model: str, adapter: str = "") -> None:
         """A replica holds a model or adapter."""
 
-    def unhold(self, p: replica.Replica, model: str, adapter: str = "") -> None:
+    def remove_item(self, replica: replica_state.Replica, model: str, adapter: str = "") -> None:
         """A replica holds a model or adapter no more."""
 
-    def unserve(self, p: replica.Replica, item: str) -> None:
+    def stop_serving(self, replica: replica_state.Replica, item: str) -> None:
         """Requests for an item go there no more."""
 
-    def index(self, p: replica.Replica) -> None:
-        """Requests for what a replica shows may go there."""
+    def index_items(self, replica: replica_state.Replica) -> None:
+        """Requests for what a replica serves may go there."""
--- a/basaltport/placement/store.py
+++ b/basaltport/placement/token_bucket.py
@@ -1,27 +1,28 @@
-"""The ceiling of the store of weights: a bucket of permits to load, empty for a new holder."""
+"""The rate limit of the store of weights: a token bucket of permits to load, empty for a new leader."""
 
 BURST = 2.0
+"""The most permits that a bucket holds."""
 
 
-class Bucket:
-    """`rate` in loads a second; times in ms. In any span no more than rate x span + BURST are taken."""
+class TokenBucket:
+    """`rate` in loads a second, times in ms. In any span no more than rate x span + BURST are taken."""
 
-    __slots__ = ("rate", "level", "at")
+    __slots__ = ("rate", "level", "filled_at")
 
     def __init__(self, rate: float, now: int) -> None:
         """Empty now."""
         self.rate = rate
         self.level = 0.0
-        self.at = now
+        self.filled_at = now
 
     def fill(self, now: int) -> float:
         """The permits that are there at a time."""
-        if now > self.at:
-            self.level = min(BURST, self.level + self.rate * (now - self.at) / 1000)
-            self.at = now
+        if now > self.filled_at:
+            self.level = min(BURST, self.level + self.rate * (now - self.filled_at) / 1000)
+            self.filled_at = now
         return self.level
 
-    def change(self, rate: float, now: int) -> None:
+    def change_rate(self, rate: float, now: int) -> None:
         """Another rate from now on."""
         self.fill(now)
         self.rate = rate
@@ -33,9 +34,9 @@
         self.level -= 1
         return True
 
-    def ready(self, now: int, n: float = 1.0) -> int | None:
-        """When `n` permits will be there; None if never."""
-        lack = n - self.fill(now)
+    def ready_at(self, now: int, permits: float = 1.0) -> int | None:
+        """When so many permits will be there, in ms; None if never."""
+        lack = permits - self.fill(now)
         if lack <= 0:
             return now
         if self.rate <= 0:
--- /dev/null
+++ b/basaltport/placement/waiting_items.py
@@ -0,0 +1,52 @@
+"""Requests that wait for an item (a model, or an adapter of one) that no replica in reach holds."""
+
+import collections.abc
+import typing
+
+EXTRA_COPY_MS = 800
+"""How long an item that is held may still be asked for before one more copy is loaded."""
+HEAD_START_MS = 200
+"""Added to each wait, so that a crowd that just came counts too."""
+MOST_COUNTED = 100
+"""More waiting requests than this count no more."""
+
+
+class WaitingCount(typing.NamedTuple):
+    """How many requests wait in a zone, as told at a time."""
+
+    requests: int
+    told_at: int
+
+
+class WaitingItem:
+    """Requests that wait for one item, by zone. Times in ms."""
+
+    __slots__ = ("first_at", "last_at", "zones", "extra_copy_at", "extra_copy_after_ms")
+
+    def __init__(self, now: int) -> None:
+        """Asked for from now on."""
+        self.first_at = self.last_at = self.extra_copy_at = now
+        self.zones: dict[str, WaitingCount] = {}
+        self.extra_copy_after_ms = EXTRA_COPY_MS
+
+    def needs_extra_copy(self, now: int) -> bool:
+        """Whether it is still asked for though it is held: its replicas may be out of reach."""
+        return now - self.extra_copy_at > self.extra_copy_after_ms
+
+    def extra_copy_begun(self, now: int) -> None:
+        """One more copy is loading; the next one is due after twice the time."""
+        self.extra_copy_at = now
+        self.extra_copy_after_ms *= 2
+
+    def rank(self, now: int) -> int:
+        """The product of how long and how many have waited; the highest goes first."""
+        requests = sum(count.requests for count in self.zones.values())
+        return (now - self.first_at + HEAD_START_MS) * min(MOST_COUNTED, requests)
+
+    def requests_by_zone(self) -> collections.abc.Mapping[str, int]:
+        """How many requests wait, by zone."""
+        return {zone: count.requests for zone, count in self.zones.items()}
+
+    def forget_before(self, time: int) -> None:
+        """Drop the counts that were told before a time."""
+        self.zones = {zone: count for zone, count in self.zones.items() if count.told_at >= time}
--- a/tests/placement_fleet.py
+++ b/tests/placement_fleet.py
@@ -132,7 +132,7 @@
         if self.p.changed:
             self.p.changed.clear()
             self.after(3, self.release)
-        if self.exact and self.p.on:
+        if self.exact and self.p.leading:
             at = max(self.now + 1, self.p.due())
             if at < self.now + 50 and (self.due_at is None or at < self.due_at):
                 self.due_at = at
@@ -170,7 +170,7 @@
             self.after(1, self.want, zone, {item: 1})
 
     def want(self, zone, items):
-        self.do(self.p.wanted(self.now, zone, items))
+        self.do(self.p.requests_waiting(self.now, zone, items))
 
     def where(self, zone, item):
         m, _, a = item.partition("/")
@@ -211,7 +211,7 @@
                 self.want(z, items)
             n, self.counts[z] = dict(self.counts[z]), collections.Counter()
             running = {s.id: sum(s.runs.values()) for s in self.sims.values() if s.zone == z}
-            self.do(self.p.used(self.now, z, n, running))
+            self.do(self.p.usage_reported(self.now, z, n, running))
         self.after(400, self.reports)
 
     def traffic(self, start, end, per_s, items):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -174,7 +174,7 @@
         w.do_send(w.nodes["p1"], e)
     w.run(500)
     told = lead(w).placement.told
-    assert ("wanted", "z-p1", {"m": 2}) in told and ("used", "z-p1", {"m": 1}, {}) in told
+    assert ("requests_waiting", "z-p1", {"m": 2}) in told and ("usage_reported", "z-p1", {"m": 1}, {}) in told
     assert p.heard_facts["m"]["state"] == "loading"
 
 
--- a/tests/test_fleet_cli.py
+++ b/tests/test_fleet_cli.py
@@ -15,6 +15,8 @@
 import pytest
 
 import basaltport.controller.admin_api as admin
+import basaltport.controller.metrics as metrics
+import basaltport.controller.placement_view as placement_view
 import basaltport.controller.status_view as view
 import basaltport.identifiers as identifiers
 import basaltport.main as main
@@ -95,8 +97,14 @@
     m, now = fleet.w.nodes[fleet.leader].member, fleet.w.now
     was = pickle.dumps(m.placement)
     for t in (now, now + 500):
-        json.dumps([view.status(m, t, t), view.placement(m, t), view.configuration(m, t), view.members(m, t)])
-        list(view.samples(m, t, t))
+        pages = [
+            view.status(m, t, t),
+            placement_view.page(m, t),
+            view.configuration(m, t),
+            view.members(m, t),
+        ]
+        json.dumps(pages)
+        list(metrics.families(m, t, t))
     assert pickle.dumps(m.placement) == was
     words = " ".join(view.unsettled(m, now + 4000, now - 10))
     for told in ("not vouched", "controller k2 is silent", "last read 4010 ms ago"):
@@ -204,7 +212,7 @@
     code = (
         "import sys; sys.modules['ssl'] = None; import basaltport.controller.admin_api as a;"
         "assert 'prometheus_client' not in sys.modules;"
-        "r = a.library(); print(r.generate_latest(r.CollectorRegistry()), sys.modules['ssl'])"
+        "r = a.metrics_library(); print(r.generate_latest(r.CollectorRegistry()), sys.modules['ssl'])"
     )
     got = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True)
     assert got.stdout.strip() == "b'' None", got.stderr
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -67,7 +67,7 @@
     f.traffic(500, 20_000, 40, ["m7"])
     f.run(6000)
     zones = {r["zone"] for r in f.p.rows.values() if "m7" in r["models"]}
-    assert zones == set(ZONES) and f.p.facts(f.now, "m7")["kept"]
+    assert zones == set(ZONES) and f.p.model_status(f.now, "m7").kept
     r = next(i for i, r in f.p.rows.items() if "m7" in r["models"] and r["zone"] == "x")
     f.sims[r].state, f.sims[r].leaves = "draining", 2000
     f.run(10_000)
@@ -195,17 +195,17 @@
 def test_facts_tell_what_is_so():
     f = fleet.Fleet(n=2, held=[["m1"], ["m2"]])
     f.run(2000)
-    assert f.p.facts(f.now, "m1")["state"] == "loaded"
-    assert f.p.facts(f.now, "m1")["serving_for_ms"] > 1500
-    assert f.p.facts(f.now, "none")["state"] == "unavailable"
-    assert f.p.facts(f.now, "m1/a1")["state"] == "unavailable"
-    got = f.p.facts(f.now, "m9")
-    assert got["state"] == "loading" and got["expected_ms"] == 600 and got["retry_after_ms"] == 300
+    assert f.p.model_status(f.now, "m1").state == "loaded"
+    assert f.p.model_status(f.now, "m1").serving_for_ms > 1500
+    assert f.p.model_status(f.now, "none").state == "unavailable"
+    assert f.p.model_status(f.now, "m1/a1").state == "unavailable"
+    got = f.p.model_status(f.now, "m9")
+    assert got.state == "loading" and got.expected_ms == 600 and got.retry_after_ms == 300
     f.ask("x", "m9")
     f.run(2300)
-    assert f.p.facts(f.now, "m9")["retry_after_ms"] < 250
+    assert f.p.model_status(f.now, "m9").retry_after_ms < 250
     f.drain(ZONES)
-    assert f.p.facts(f.now, "m9")["state"] == "unavailable"
+    assert f.p.model_status(f.now, "m9").state == "unavailable"
 
 
 def test_a_list_that_is_old_undoes_nothing_and_a_failed_one_changes_nothing():
@@ -293,9 +293,9 @@
     @stateful.invariant()
     def shows_only_what_is_there(self):
         if hasattr(self, "f"):
-            assert len(self.f.p.active) <= len(self.f.p.reps)
-            for r, p in self.f.p.reps.items():
-                assert p.used(self.f.p.cat) <= self.f.room, r
+            assert len(self.f.p.working) <= len(self.f.p.replicas)
+            for r, p in self.f.p.replicas.items():
+                assert p.used_mb(self.f.p.catalog) <= self.f.room, r
 
     def teardown(self):
         if not hasattr(self, "f"):
--- a/tests/test_route_scenarios.py
+++ b/tests/test_route_scenarios.py
@@ -6,10 +6,10 @@
 import basaltport.fleet.follow as follow
 import basaltport.controller.operator_requests as desk
 import basaltport.controller.shard_ownership as duties
-import basaltport.placement.choose as choose
+import basaltport.placement.replica_choice as replica_choice
 import basaltport.placement.machine as machine
-import basaltport.placement.orders as orders
-import basaltport.placement.store as store
+import basaltport.placement.plan_execution as plan_execution
+import basaltport.placement.token_bucket as token_bucket
 import basaltport.simulation.routes.mayhem as routemayhem
 import basaltport.simulation.routes.scenes as routescenes
 import basaltport.simulation.virtual_disk as simdisk
@@ -44,7 +44,7 @@
 # mutations
 
 _refuse, _judged = node.ProxyNode.refuse, desk.DeskMixin.judged
-_wanted = machine.Placement.wanted
+_requests_waiting = machine.Placement.requests_waiting
 
 
 def _all_may_go_again(known):
@@ -106,12 +106,12 @@
     return [(token, True) for token, _, _ in batch]
 
 
-def _no_room_needed(self, p, mb, most=None, keep=""):
-    return 0.0, []
+def _no_room_needed(self, replica, needed_mb, cost_limit=None, keep=""):
+    return replica_choice.Eviction(0.0, [])
 
 
 def _not_m20(self, now, zone, items):
-    return _wanted(self, now, zone, {i: n for i, n in items.items() if i != "m20"})
+    return _requests_waiting(self, now, zone, {i: n for i, n in items.items() if i != "m20"})
 
 
 def _now(self, q, why, retry_after):
@@ -127,8 +127,8 @@
     return not self.tip()["roster"]
 
 
-def _go(self, p, s):
-    return "go"
+def _go(self, replica, step):
+    return plan_execution.Verdict.GO
 
 
 CASES = [
@@ -152,19 +152,22 @@
     ("survives", "power-loss", [(simdisk.SimDisk, "done", _not_written)]),
     ("resends", "replicas-refuse", [(retry_budget.Retries, "room", lambda self, now, nodes: True)]),
     ("cold", "replicas-cold", [(load_balancing.PickMixin, "cold_share", lambda self, r, row: 10**6)]),
-    ("store", "rare-models-at-once", [(store.Bucket, "fill", _endless)]),
+    ("store", "rare-models-at-once", [(token_bucket.TokenBucket, "fill", _endless)]),
     (
         "room",
         "rare-models-at-once",
-        [(choose.ChooseMixin, "make_room", _no_room_needed), (orders.OrdersMixin, "fit", _go)],
+        [
+            (replica_choice.ReplicaChoiceMixin, "make_room", _no_room_needed),
+            (plan_execution.PlanExecutionMixin, "fit", _go),
+        ],
     ),
-    ("starved", "rare-models-at-once", [(machine.Placement, "wanted", _not_m20)]),
+    ("starved", "rare-models-at-once", [(machine.Placement, "requests_waiting", _not_m20)]),
     ("back", "all-killed", [(elect.ElectMixin, "quorum", _only_founding)]),
     ("final-word", "replicas-refuse", [(node.ProxyNode, "refuse", _now)]),
     (
         "held",
         "rare-models-at-once",
-        [(node.ProxyNode, "expire", lambda self: None), (machine.Placement, "wanted", _not_m20)],
+        [(node.ProxyNode, "expire", lambda self: None), (machine.Placement, "requests_waiting", _not_m20)],
     ),
     ("acked", "quiet", [(desk.DeskMixin, "acknowledge", lambda self, w: None)]),
 ]
