--- a/basaltport/admin/cli.py
+++ b/basaltport/admin/cli.py
@@ -9,7 +9,7 @@
 import absl.flags as flags
 import aiohttp
 
-import basaltport.replica_client.adapter as adapter
+import basaltport.query_api.replica_client.adapter as adapter
 import basaltport.configuration.check as check
 import basaltport.configuration.read as read
 import basaltport.verbs as verbs
--- a/basaltport/admin/fleet_cli.py
+++ b/basaltport/admin/fleet_cli.py
@@ -11,7 +11,7 @@
 
 import basaltport.admin.cli as cli
 import basaltport.configuration.routes as routes
-import basaltport.replica_client.adapter as adapter
+import basaltport.query_api.replica_client.adapter as adapter
 import basaltport.verbs as verbs
 
 ADDRESS = re.compile(r"\d{1,3}(\.\d{1,3}){3}:\d{1,5}").fullmatch
--- a/basaltport/host.py
+++ b/basaltport/host.py
@@ -10,7 +10,7 @@
 
 import basaltport.admin.http as http
 import basaltport.log_events as log_events
-import basaltport.replica_client.adapter as adapter
+import basaltport.query_api.replica_client.adapter as adapter
 import basaltport.events as events
 import basaltport.identifiers as identifiers
 import basaltport.consensus.journal as journal
--- a/basaltport/local_fleet/port.py
+++ b/basaltport/local_fleet/port.py
@@ -12,7 +12,7 @@
 import basaltport.controller.admin_pages as pages
 import basaltport.local_fleet.stand_ins as stand_ins
 import basaltport.placement.effects as effects
-import basaltport.replica_client.adapter as adapter
+import basaltport.query_api.replica_client.adapter as adapter
 
 CALL_S = 1.0
 CONFIGURATION_PATH = "/configuration"
--- a/basaltport/proxy/upstream.py
+++ b/basaltport/proxy/upstream.py
@@ -14,7 +14,7 @@
 import basaltport.proxy.memory_limit as memory_limit
 import basaltport.proxy.attempt_outcome as attempt_outcome
 import basaltport.proxy.header_names as header_names
-import basaltport.replica_client.adapter as adapter
+import basaltport.query_api.replica_client.adapter as adapter
 
 Outcome = attempt_outcome.Outcome
 Result = attempt_outcome.Result
--- a/basaltport/query_api/load_generator/shoot.py
+++ b/basaltport/query_api/load_generator/shoot.py
@@ -9,7 +9,7 @@
 import aiohttp
 
 import basaltport.query_api.load_generator.plan as plan
-import basaltport.replica_client.adapter as adapter
+import basaltport.query_api.replica_client.adapter as adapter
 
 LEAD_S = 0.2
 
--- a/basaltport/query_api/query_proxy/front.py
+++ b/basaltport/query_api/query_proxy/front.py
@@ -6,7 +6,7 @@
 
 import aiohttp.web
 
-import basaltport.replica_client.adapter as adapter
+import basaltport.query_api.replica_client.adapter as adapter
 import basaltport.events as events
 import basaltport.identifiers as identifiers
 
--- a/basaltport/replica_client/adapter.py
+++ b/basaltport/query_api/replica_client/adapter.py
@@ -12,7 +12,7 @@
 import aiohttp.tracing
 
 import basaltport.events as events
-import basaltport.replica_client.pieces as pieces
+import basaltport.query_api.replica_client.pieces as pieces
 import basaltport.sockets as sockets
 
 DISPATCH = "Basaltport-Dispatch"
--- a/basaltport/simulation/query_api/standins/backend.py
+++ b/basaltport/simulation/query_api/standins/backend.py
@@ -1,6 +1,6 @@
 """The simulator's other parties: replicas, weight store, platform."""
 
-import basaltport.replica_client.pieces as pieces
+import basaltport.query_api.replica_client.pieces as pieces
 import basaltport.events as events
 import basaltport.simulation.query_api.standins.replica as replica
 import basaltport.sockets as sockets
--- a/basaltport/simulation/query_api/standins/standin.py
+++ b/basaltport/simulation/query_api/standins/standin.py
@@ -9,7 +9,7 @@
 import aiohttp
 import aiohttp.web
 
-import basaltport.replica_client.adapter as adapter
+import basaltport.query_api.replica_client.adapter as adapter
 import basaltport.identifiers as identifiers
 import basaltport.simulation.query_api.standins.replica as replica
 
--- a/tests/test_mutations.py
+++ b/tests/test_mutations.py
@@ -3,7 +3,7 @@
 import pytest
 
 import basaltport.admin.desk as desk
-import basaltport.replica_client.pieces as pieces
+import basaltport.query_api.replica_client.pieces as pieces
 import basaltport.events as events
 import basaltport.consensus.elect as elect
 import basaltport.consensus.feed as feed
--- a/tests/test_wires.py
+++ b/tests/test_wires.py
@@ -7,7 +7,7 @@
 import aiohttp
 import pytest
 
-import basaltport.replica_client.adapter as adapter
+import basaltport.query_api.replica_client.adapter as adapter
 import basaltport.events as events
 import basaltport.frames as frames
 import basaltport.wires as wires
