--- a/basaltport/controller/operator_requests.py
+++ b/basaltport/controller/operator_requests.py
@@ -1,6 +1,6 @@
 """Operators' asks at any controller. What a leader left open is asked again of the next; every call ends."""
 
-import basaltport.admin.desk as desk
+import basaltport.operator_answers as operator_answers
 import basaltport.configuration.routes as routes
 import basaltport.messages as messages
 
@@ -27,7 +27,7 @@
         self.open = open
 
 
-class DeskMixin(desk.AskMixin):
+class DeskMixin(operator_answers.OperatorAnswersMixin):
     """Needs RosterMixin and VoterMixin."""
 
     def on_asked(self, ev):
@@ -153,11 +153,11 @@
             return
         self.undecided(w["src"], w["call"], w["verb"], open)
 
-    def step_down(self, why):
+    def leave_reads_open(self):
+        """Before this leader steps down: the next one answers its reads."""
         reads, self.reads = self.reads, []
         for r in reads:
             self.left_open(r, r["asked"], 0)
-        super().step_down(why)
 
     # changes
 
