--- a/basaltport/placement/replica_state.py
+++ b/basaltport/placement/replica_state.py
@@ -1,48 +1,55 @@
-"""A replica as the holder of the orders knows it, and the plan of orders it is working on."""
-
-import typing
+"""A replica as the leader knows it, and the plan of orders that it works on. Times in ms."""
 
 import basaltport.identifiers as identifiers
 import basaltport.placement.catalog as catalog
+import basaltport.placement.order_types as order_types
+import basaltport.placement.replica_rows as replica_rows
 
-LOAD = "load"
-UNLOAD = "unload"
-ASK_WAIT = 250
+REPORT_BACKOFF_MS = 250
+"""The first wait between two requests for a report; each further one is twice as long."""
+NOTHING_LISTED = replica_rows.ListedReplica(identifiers.ReplicaId(""), "", "", "", None, "", None, 0, {})
 
 
-class Held:
-    """A model on a replica; `adapters` by name and when each came. `leaving`: an unload of it was begun."""
+class LoadedModel:
+    """A model on a replica: since when, its adapters by name and when each came."""
 
-    __slots__ = ("since", "adapters", "leaving", "off")
+    __slots__ = ("since", "adapters", "unloading", "unloading_adapters")
 
     def __init__(self, since: int) -> None:
         """It came at a time."""
         self.since = since
         self.adapters: dict[str, int] = {}
-        self.leaving = False
-        self.off: set[str] = set()
+        self.unloading = False
+        self.unloading_adapters: set[str] = set()
 
 
 class Step:
-    """One order, sent again until it is done. `taken`: it was accepted; `unsure`: it may have been."""
+    """One order, sent again until it is done."""
 
-    __slots__ = "kind model adapter disk sent at wait taken unsure order out paid tries".split()
+    __slots__ = (
+        *("kind", "model", "adapter", "from_disk", "first_sent_at", "due_at", "retry_ms", "accepted"),
+        *("uncertain", "order", "sent_at", "permit_at"),
+    )
 
-    def __init__(self, kind: str, model: str, adapter: str = "", disk: bool = False) -> None:
-        """`disk`: the weights are on the replica's own disk."""
+    def __init__(
+        self, kind: order_types.OrderKind, model: str, adapter: str = "", from_disk: bool = False
+    ) -> None:
+        """`from_disk`: the weights are on the replica's own disk."""
         self.kind = kind
         self.model = model
         self.adapter = adapter
-        self.disk = disk
-        self.sent: int | None = None
-        self.at = 0
-        self.wait = 0.0
-        self.taken = False
-        self.unsure = False
+        self.from_disk = from_disk
+        self.first_sent_at: int | None = None
+        self.due_at = 0
+        self.retry_ms = 0.0
+        self.accepted = False
+        self.uncertain = False
+        """It may have been taken: an answer is missing."""
         self.order = 0
-        self.out = 0
-        self.paid: int | None = None
-        self.tries = 0
+        """The number of the order in flight; 0 while none is."""
+        self.sent_at = 0
+        self.permit_at: int | None = None
+        """When it last took a permit of the store's rate limit."""
 
     @property
     def item(self) -> str:
@@ -50,53 +57,70 @@
         return f"{self.model}/{self.adapter}" if self.adapter else self.model
 
     @property
-    def store(self) -> bool:
+    def from_store(self) -> bool:
         """Whether it loads from the store of weights."""
-        return self.kind == LOAD and not self.adapter and not self.disk
+        return self.kind == order_types.OrderKind.LOAD and not self.adapter and not self.from_disk
 
 
 class Plan:
-    """Steps in their order towards `goal`; `asked`: for a want, dropped when nobody wants it any more."""
+    """The steps, in their order, that bring an item to a replica."""
 
-    __slots__ = ("goal", "steps", "asked", "made")
+    __slots__ = ("goal", "steps", "on_demand", "made_at")
 
-    def __init__(self, goal: str, steps: list[Step], asked: bool, made: int) -> None:
-        """Made at a time."""
+    def __init__(self, goal: str, steps: list[Step], on_demand: bool, made_at: int) -> None:
+        """`goal`: the item; `on_demand`: requests wait for it, and the plan ends when none does any more."""
         self.goal = goal
         self.steps = steps
-        self.asked = asked
-        self.made = made
+        self.on_demand = on_demand
+        self.made_at = made_at
 
 
 class Replica:
     """What is known of a replica: its row, what it holds, its plan, and how far it is believed."""
 
     __slots__ = (
-        *"id service address zone state leaves slots engine held touched missing disk synced plan".split(),
-        *"dark ask_at ask_wait asked bars running running_at row".split(),
+        *("id", "listed", "service", "address", "zone", "state", "leaves_in_ms", "slots", "has_engine"),
+        *("models", "disk_models", "changed_at", "missed", "verified", "plan", "unanswered"),
+        *("report_at", "report_backoff_ms", "report_requested_at", "barred_until", "running", "running_at"),
     )
 
-    def __init__(self, rid: identifiers.ReplicaId) -> None:
+    def __init__(self, replica_id: identifiers.ReplicaId) -> None:
         """Nothing is known of it but its id."""
-        self.id = rid
+        self.id = replica_id
+        self.listed = NOTHING_LISTED
         self.service = self.address = self.zone = self.state = ""
-        self.leaves: int | None = None
+        self.leaves_in_ms: int | None = None
         self.slots = 1
-        self.engine = False
-        self.held: dict[str, Held] = {}
-        self.touched: dict[str, int] = {}
-        self.missing: dict[tuple[str, str], int] = {}
-        self.disk: set[str] = set()
-        self.synced = False
+        self.has_engine = False
+        """Whether its service holds models."""
+        self.models: dict[str, LoadedModel] = {}
+        self.disk_models: set[str] = set()
+        """Models whose weights are on its disk."""
+        self.changed_at: dict[str, int] = {}
+        """When an order last changed whether it holds an item."""
+        self.missed: dict[tuple[str, str], int] = {}
+        """How many lists in a row lacked a model and adapter that it should hold."""
+        self.verified = False
+        """Whether what it holds is known for sure; only then is anything ordered there."""
         self.plan: Plan | None = None
-        self.dark = 0
-        self.ask_at = 0
-        self.ask_wait = ASK_WAIT
-        self.asked: int | None = None
-        self.bars: dict[str, int] = {}
+        self.unanswered = 0
+        """Orders and reports in a row without an answer."""
+        self.report_at = 0
+        self.report_backoff_ms = REPORT_BACKOFF_MS
+        self.report_requested_at: int | None = None
+        self.barred_until: dict[str, int] = {}
+        """Until when an item is not ordered there again."""
         self.running = 0.0
+        """Requests that run there, smoothed, as of `running_at`."""
         self.running_at = 0
-        self.row: dict[str, typing.Any] = {}
+
+    def take_listing(self, listed: replica_rows.ListedReplica, has_engine: bool) -> None:
+        """What a row of the list says of all but its models."""
+        self.listed = listed
+        self.service, self.address, self.zone = listed.service, listed.address, listed.zone
+        self.state, self.leaves_in_ms = listed.state, listed.leaves_in_ms
+        self.slots = listed.slots or 1
+        self.has_engine = has_engine
 
     def steps(self) -> list[Step]:
         """The steps of its plan that are not done."""
@@ -106,26 +130,26 @@
         """The step that is due; there must be one."""
         return self.steps()[0]
 
-    def places(self) -> int:
+    def adapters_held(self) -> int:
         """How many adapters it holds."""
-        return sum(len(h.adapters) for h in self.held.values())
+        return sum(len(loaded.adapters) for loaded in self.models.values())
 
-    def used(self, cat: catalog.Catalog) -> float:
-        """MB of weights and adapters, with what is on its way out."""
-        n = 0.0
-        for m, h in self.held.items():
-            n += cat.size(self.service, m)
-            n += len(h.adapters) * cat.size(self.service, m, "*") if h.adapters else 0
-        return n
+    def used_mb(self, models: catalog.Catalog) -> float:
+        """The size of its weights and adapters, with what is being unloaded."""
+        total = 0.0
+        for name, loaded in self.models.items():
+            total += models.size_mb(self.service, name)
+            total += len(loaded.adapters) * models.size_mb(self.service, name, "*") if loaded.adapters else 0
+        return total
 
-    def shown(self) -> dict[str, list[str]]:
+    def serving(self) -> replica_rows.Models:
         """The models and adapters that requests may go to."""
         out = {}
-        for m, h in self.held.items():
-            if not h.leaving:
-                out[m] = sorted(a for a in h.adapters if a not in h.off)
+        for name, loaded in self.models.items():
+            if not loaded.unloading:
+                out[name] = sorted(a for a in loaded.adapters if a not in loaded.unloading_adapters)
         return out
 
-    def coming(self) -> list[str]:
+    def loading(self) -> list[str]:
         """The items that its plan loads."""
-        return [s.item for s in self.steps() if s.kind == LOAD]
+        return [step.item for step in self.steps() if step.kind == order_types.OrderKind.LOAD]
--- a/basaltport/proxy/admission.py
+++ b/basaltport/proxy/admission.py
@@ -76,10 +76,10 @@
                 return self.enqueue(arrived)
 
     def set_deadline(self, arrived: request.Request, event: events.Arrived) -> Rejection | None:
-        """The smaller of the client's deadline and the route's."""
+        """The smaller of the client's deadline and the route's, from when the request's head was there."""
         longest_ms = arrived.route.deadline_ms
         remaining_ms = longest_ms if event.deadline < 0 else min(event.deadline, longest_ms)
-        arrived.deadline = identifiers.Millis(event.now + remaining_ms)
+        arrived.deadline = identifiers.Millis(event.now - event.body_ms + remaining_ms)
         return None if arrived.deadline > self.node.now else Rejection("no time is left", RETRY_AFTER_MS)
 
     def check_item(self, arrived: request.Request) -> Rejection | None:
--- a/basaltport/query_api/query_proxy/model_readiness.py
+++ b/basaltport/query_api/query_proxy/model_readiness.py
@@ -1,350 +1,359 @@
-"""ADR 0041 in a router node: the cache, the shared wait, the error phases, one resend after readiness."""
+"""ADR 0041 at the query node: what is known of each model, and the shared wait for a load."""
 
-import basaltport.query_api.failure_detection.duties as duties
-import basaltport.rendezvous as rendezvous
-import basaltport.log_events as log_events
-import basaltport.messages as messages
+import dataclasses
+import http
+import typing
+
+import basaltport.cold_start.decision as decision
 import basaltport.cold_start.limits as limits
-import basaltport.query_api.query_proxy.interp as interp
-import basaltport.query_api.query_proxy.query as query
-
-ASK_LAPSE = 400
-CLASSIFY = 400
-BLIND = 1500
-MAX_SPREAD = 1500
-
-
-class Fact:
-    """What the controller last said of an item, and the last sign that it served."""
-
-    __slots__ = (
-        "state",
-        "kept",
-        "window",
-        "expected",
-        "serving_since",
-        "served",
-        "at",
-        "reason",
-        "load",
-        "load_since",
-        "asked",
-    )
-
-    def __init__(self):
-        self.state = ""
-        self.kept = False
-        self.window = 0
-        self.expected = 0
-        self.serving_since = None
-        self.served = None
-        self.at = -1
-        self.reason = ""
-        self.load = None
-        self.load_since = 0
-        self.asked = -(10**9)
-
-
-class Shared:
-    """One wait for an item, shared by every query for it here."""
-
-    __slots__ = ("item", "since", "next", "ask", "zones", "began", "pool", "answered")
-
-    def __init__(self, item, now, pool):
-        self.pool = pool
-        self.answered = True
-        self.item = item
-        self.since = now
-        self.next = now
-        self.ask = 0
-        self.zones = []
-        self.began = False
-
-
-class ReadinessMixin:
-    """Needs Rostrum. Queries of a shared wait sit in their lines: no worker is held."""
-
-    def readiness_start(self):
-        self.facts = {}
-        self.first_lease = None
-        self.waits = {}
-        self.asks = {}
-        self.ask_n = 0
-        self.doubts = {}
-
-    def fact(self, item):
-        f = self.facts.get(item)
-        if f is None:
-            f = self.facts[item] = Fact()
-            r = self.rules.items.get(item)
-            if r:
-                f.window, f.expected = r.idle_window, r.expected
-        return f
-
-    def warm(self, item):
-        f = self.facts.get(item)
-        if f is None or f.served is None:
-            return False
-        if f.kept:
-            return True
-        return self.now - f.served < limits.warm_for(f.window)
+import basaltport.identifiers as identifiers
+import basaltport.log_events as log_events
+import basaltport.query_api.events as events
+import basaltport.query_api.failure_detection.role_owners as role_owners
+import basaltport.query_api.messages as messages
+import basaltport.query_api.query_proxy.admission as admission
+import basaltport.query_api.query_proxy.final_answers as final_answers
+import basaltport.query_api.query_proxy.model_state as model_state
+import basaltport.query_api.query_proxy.request as request
+import basaltport.query_api.query_proxy.retries as retries
+import basaltport.rendezvous as rendezvous
 
-    def ready_or_wait(self, q):
-        if self.warm(q.item) and self.usable(q.item):
-            q.ready = True
+ANSWER_WAITED_MS = 400
+CELLS_WAITED_MS = 1500
+MIN_RETRY_AFTER_MS = 200
+REMEMBERED_REQUESTS = 2000
+LOADED = model_state.LOADED
+LOADING = model_state.LOADING
+ModelState = model_state.ModelState
+
+QUEUED = request.RequestState.QUEUED
+
+
+@dataclasses.dataclass(slots=True, eq=False)
+class LoadWait:
+    """The wait for an item's load, shared by every request for it here.
+
+    `zones`: those still to be asked, the next one first; `began`: the load has begun."""
+
+    item: identifiers.Item
+    since: int
+    next_at: int
+    pool: str
+    zones: list[identifiers.Zone]
+    request_number: int = 0
+    began: bool = False
+    answered: bool = True
+
+
+class ModelReadinessMixin(retries.RetriesMixin):
+    """Requests of a shared wait stay in their queues: nothing else is held for them."""
+
+    def readiness_start(self) -> None:
+        """Begin with nothing known."""
+        self.model_states: dict[identifiers.Item, ModelState] = {}
+        self.first_lease: identifiers.Millis | None = None
+        self.load_waits: dict[identifiers.Item, LoadWait] = {}
+        self.status_requests: dict[int, identifiers.Item] = {}
+        self.status_request_number = 0
+        self.retries_start()
+
+    def model_state(self, item: identifiers.Item) -> ModelState:
+        """What is known of an item; at first what the configuration declares."""
+        known = self.model_states.get(item)
+        if known is None:
+            known = self.model_states[item] = ModelState()
+            rule = self.rules.items.get(item)
+            if rule:
+                known.idle_window_ms, known.expected_load_ms = rule.idle_window, rule.expected
+        return known
+
+    def is_warm(self, item: identifiers.Item) -> bool:
+        """Whether an item served so lately that it need not be asked for."""
+        known = self.model_states.get(item)
+        if known is None:
+            return False
+        sign = decision.WarmSign(known.kept, known.last_served_at, known.idle_window_ms)
+        return decision.is_warm(sign, self.now)
+
+    def load_left(self, item: identifiers.Item) -> int:
+        """How long an item's load is expected to take still, in milliseconds."""
+        known = self.model_state(item)
+        loading_ms = self.now - known.loading_since if known.state == LOADING else 0
+        return decision.load_left_ms(known.expected_load_ms, loading_ms)
+
+    # the shared wait
+
+    def ready_or_wait(self, waiting: request.Request) -> final_answers.Rejection | None:
+        """Mark a request ready, or let it wait for its item; rejected where it cannot outlast the load."""
+        item = waiting.item
+        may_be_held = bool(self.usable(item))
+        known = self.model_state(item)
+        arrival = decision.on_arrival(
+            is_warm=may_be_held and self.is_warm(item),
+            may_be_held=may_be_held,
+            remaining_ms=waiting.deadline - self.now,
+            expected_load_ms=known.expected_load_ms,
+        )
+        if arrival is decision.Arrival.SEND:
+            waiting.ready = True
             return None
-        f = self.fact(q.item)
-        if f.expected and q.until - self.now < f.expected and not self.usable(q.item):
-            return 504, "deadline-too-short", self.too_short(q, f), f.expected
-        q.ready = False
-        q.waited = self.now
-        self.wait_for(q)
-
-    def too_short(self, q, f):
-        return f"{q.item}: {q.until - self.now} ms remain, a load takes about {f.expected} ms"
-
-    def wait_for(self, q):
-        item = q.item
-        if item in self.waits:
+        if arrival is decision.Arrival.FAIL:
+            detail = self.too_short_detail(waiting, known)
+            status = http.HTTPStatus.GATEWAY_TIMEOUT
+            return final_answers.Rejection(status, "deadline-too-short", detail, known.expected_load_ms)
+        waiting.ready = False
+        waiting.waiting_since = self.now
+        self.wait_for(waiting)
+        return None
+
+    def too_short_detail(self, waiting: request.Request, known: ModelState) -> str:
+        """Why a deadline is too short."""
+        remaining_ms = waiting.deadline - self.now
+        return f"{waiting.item}: {remaining_ms} ms remain, a load takes about {known.expected_load_ms} ms"
+
+    def wait_for(self, waiting: request.Request) -> None:
+        """Join the wait for an item, or begin it."""
+        item = waiting.item
+        if item in self.load_waits:
             return
-        w = self.waits[item] = Shared(item, self.now, q.rule.pool)
-        w.zones = self.zones_for(item)
-        at = self.fact(item).asked
-        if self.now - at < limits.POLL:
-            w.next = at + limits.POLL
+        wait = LoadWait(item, self.now, self.now, waiting.rule.pool, self.zones_for(item))
+        self.load_waits[item] = wait
+        asked_at = self.model_state(item).asked_at
+        if self.now - asked_at < limits.POLL_SPACING_FLOOR_MS:
+            wait.next_at = asked_at + limits.POLL_SPACING_FLOOR_MS
             return
-        self.ask_next(w)
+        self.ask_next_zone(wait)
 
-    def blind(self):
-        """A node that just started may not order a load that a zone not heard of may hold."""
+    def must_hear_cells(self) -> bool:
+        """A node that just started may not order a load that a zone not heard of yet may hold."""
         if self.first_lease is None and self.leased():
             self.first_lease = self.now
-        return not self.cells_known() and self.now - (self.first_lease or self.now) < BLIND
-
-    def zones_for(self, item):
-        """Zones that hold it first, then those with room for it, then by weight, its home first."""
-        zs = [z for z in self.rules.zones if z not in self.book["drains"] and z not in self.shunned_zones]
-        held = {z for z, r in self.holders.get(item, []) if self.may_use(r)}
-        base = self.near.get(item.base(), ())
-        roomy = {z for z in zs if self.has_room(z, item)}
-        zs.sort(
-            key=lambda z: (z not in held, z not in base, z not in roomy, -rendezvous.weight(item.base(), z))
-        )
-        return zs
-
-    def ask_next(self, w):
-        if self.blind():
-            w.next = self.now + limits.POLL // 4
-            return
-        if not w.zones:
-            self.unavailable(w.item, "no zone can hold it")
+        return not self.cells_known() and self.now - (self.first_lease or self.now) < CELLS_WAITED_MS
+
+    def zones_for(self, item: identifiers.Item) -> list[identifiers.Zone]:
+        """Zones that hold it first, then those with its model, then those with room, then by weight."""
+        evacuated = self.book["drains"]
+        names = [identifiers.Zone(name) for name in self.rules.zones]
+        zones = [name for name in names if name not in evacuated and name not in self.evacuation_hints]
+        serving = {zone for zone, name in self.holders.get(item, []) if self.may_use(name)}
+        model = item.base()
+        with_model = self.zones_with.get(model, ())
+        roomy = {zone for zone in zones if self.has_room(zone, item)}
+
+        def rank(zone: identifiers.Zone) -> tuple[bool, bool, bool, int]:
+            weight = rendezvous.weight(model, zone)
+            return zone not in serving, zone not in with_model, zone not in roomy, -weight
+
+        return sorted(zones, key=rank)
+
+    def ask_next_zone(self, wait: LoadWait) -> None:
+        """Ask the next zone for the load; without one the item is unavailable."""
+        if self.must_hear_cells():
+            wait.next_at = self.now + limits.POLL_SPACING_FLOOR_MS // 4
             return
-        z = w.zones[0]
-        self.fact(w.item).asked = self.now
-        w.answered = False
-        w.ask = self.ask(w.item, z, True, w.pool)
-        w.next = self.now + ASK_LAPSE
-
-    def ask(self, item, zone, wake, pool=""):
-        self.ask_n += 1
-        self.asks[self.ask_n] = (item, zone)
-        while len(self.asks) > 2000:
-            self.asks.pop(next(iter(self.asks)))
-        d = self.book["duties"].get(duties.zone_key(zone))
-        addr = self.addr_of(d["owner"]) if d else None
-        if addr:
-            self.send(addr, messages.Want(self.ask_n, self.me.seat, item, zone, wake, pool))
-        return self.ask_n
-
-    def learn(self, m):
-        f = self.fact(m.item)
-        f.state, f.kept, f.window, f.expected = m.state, m.kept, m.idle_window, m.expected
-        f.serving_since = self.now - m.serving_for if m.serving_for >= 0 else None
-        f.at, f.reason, f.load_since = self.now, m.reason, self.now - m.loading_for
-        if m.state == "loaded":
-            hs = self.holders.setdefault(m.item, [])
-            hs.extend((m.zone, r) for r in m.replicas if (m.zone, r) not in hs)
-        return f
-
-    def hear_facts(self, src, m):
-        if self.asks.pop(m.ask, None) is None:
+        if not wait.zones:
+            self.item_unavailable(wait.item, "no zone can hold it")
             return
-        f = self.learn(m)
-        if m.ask in self.doubts:
-            self.classify(self.doubts.pop(m.ask), f)
+        self.model_state(wait.item).asked_at = self.now
+        wait.answered = False
+        wait.request_number = self.request_status(wait.item, wait.zones[0], True, wait.pool)
+        wait.next_at = self.now + ANSWER_WAITED_MS
+
+    def request_status(
+        self, item: identifiers.Item, zone: identifiers.Zone, wake: bool, pool: str = ""
+    ) -> int:
+        """Ask a zone's controller how an item stands; with `wake`, for its load. The request's number."""
+        self.status_request_number += 1
+        number = self.status_request_number
+        self.status_requests[number] = item
+        while len(self.status_requests) > REMEMBERED_REQUESTS:
+            self.status_requests.pop(next(iter(self.status_requests)))
+        owner = self.book["duties"].get(role_owners.zone_role(zone))
+        address = self.addr_of(owner["owner"]) if owner else None
+        if address:
+            self.send(address, messages.ModelStatusRequest(number, self.me.seat, item, zone, wake, pool))
+        return number
+
+    def learn(self, message: messages.ModelStatus) -> ModelState:
+        """Take what a zone's controller says of an item."""
+        known = self.model_state(message.item)
+        known.state, known.kept = message.state, message.kept
+        known.idle_window_ms, known.expected_load_ms = message.idle_window, message.expected
+        known.serving_since = self.now - message.serving_for if message.serving_for >= 0 else None
+        known.reason, known.loading_since = message.reason, self.now - message.loading_for
+        if message.state == LOADED:
+            holders = self.holders.setdefault(message.item, [])
+            found = [(message.zone, name) for name in message.replicas]
+            holders.extend(holder for holder in found if holder not in holders)
+        return known
+
+    def hear_model_status(self, source: str, message: messages.ModelStatus) -> None:
+        """A zone's controller tells how an item stands."""
+        if self.status_requests.pop(message.request_number, None) is None:
             return
-        w = self.waits.get(m.item)
-        if w is None or (w.ask != m.ask and m.state not in ("loaded", "loading")):
+        known = self.learn(message)
+        check = self.timeout_checks.pop(message.request_number, None)
+        if check:
+            self.classify_timeout(check, known)
             return
-        w.answered = True
-        if m.state == "loaded":
-            f.served = self.now
-            del self.waits[m.item]
-            if w.began:
-                f.load = (w.since, self.now - w.since)
-                self.note(log_events.Event.LOAD_DONE, item=m.item, waited_ms=self.now - w.since)
-            self.now_ready(m.item)
+        wait = self.load_waits.get(message.item)
+        if wait is None:
             return
-        if m.state == "loading":
-            if not w.began:
-                w.began = True
-                self.note(log_events.Event.LOAD_WAITED, item=m.item, zone=m.zone, expected_ms=m.expected)
-            w.next = self.now + min(limits.spacing(m.retry_after), MAX_SPREAD)
-            self.check_deadlines(m.item, f)
+        if wait.request_number != message.request_number and message.state not in (LOADED, LOADING):
             return
-        w.zones.pop(0)
-        f.reason = m.reason
-        self.ask_next(w)
-
-    def now_ready(self, item):
-        for q in self.lines:
-            if q.item == item and q.state == query.WAIT:
-                q.ready = True
+        wait.answered = True
+        step = decision.after_answer(message.state)
+        if step is decision.WaitStep.READY:
+            self.load_ended(wait, known)
+        elif step is decision.WaitStep.POLL:
+            self.load_goes_on(wait, known, message)
+        else:
+            wait.zones.pop(0)
+            known.reason = message.reason
+            self.ask_next_zone(wait)
+
+    def load_ended(self, wait: LoadWait, known: ModelState) -> None:
+        """The item serves: all that waited for it is ready."""
+        known.last_served_at = self.now
+        del self.load_waits[wait.item]
+        if wait.began:
+            known.last_load_ms = self.now - wait.since
+            self.note(log_events.Event.LOAD_DONE, item=wait.item, waited_ms=known.last_load_ms)
+        for waiting in self.queues:
+            if waiting.item == wait.item and waiting.state is QUEUED:
+                waiting.ready = True
         self.pump()
 
-    def unavailable(self, item, why):
-        self.waits.pop(item, None)
-        f = self.fact(item)
-        why = f.reason or why
-        for q in [q for q in self.lines if q.item == item and not q.ready]:
-            self.refuse(q, 503, "unavailable", f"{item}: {why}")
-
-    def check_deadlines(self, item, f):
-        """Fail before sending what cannot outlast the load; time already waited counts for it."""
-        left = max(0, f.expected - (self.now - f.load_since))
-        for q in [q for q in self.lines if q.item == item and not q.ready]:
-            if q.until - self.now < left:
-                self.refuse(q, 504, "deadline-too-short", self.too_short(q, f), max(left, 200))
-
-    def tick_readiness(self):
+    def load_goes_on(self, wait: LoadWait, known: ModelState, message: messages.ModelStatus) -> None:
+        """The item is being loaded: ask again when the controller says."""
+        if not wait.began:
+            wait.began = True
+            self.note(
+                log_events.Event.LOAD_WAITED,
+                item=message.item,
+                zone=message.zone,
+                expected_ms=message.expected,
+            )
+        asked_at = known.asked_at
+        wait.next_at = decision.next_ask_at(decision.JSON_API, asked_at, self.now, message.retry_after)
+        self.reject_too_short(message.item, known)
+
+    def item_unavailable(self, item: identifiers.Item, reason: str) -> None:
+        """No zone can serve an item: end what waits for it."""
+        self.load_waits.pop(item, None)
+        reason = self.model_state(item).reason or reason
+        for waiting in self.waiting_for(item):
+            self.reject(waiting, http.HTTPStatus.SERVICE_UNAVAILABLE, "unavailable", f"{item}: {reason}")
+
+    def reject_too_short(self, item: identifiers.Item, known: ModelState) -> None:
+        """Reject before sending what cannot outlast the load; time already waited counts for it."""
+        left_ms = decision.load_left_ms(known.expected_load_ms, self.now - known.loading_since)
+        for waiting in self.waiting_for(item):
+            if decision.is_too_short(waiting.deadline - self.now, left_ms):
+                detail = self.too_short_detail(waiting, known)
+                retry_after_ms = max(left_ms, MIN_RETRY_AFTER_MS)
+                status = http.HTTPStatus.GATEWAY_TIMEOUT
+                self.reject(waiting, status, "deadline-too-short", detail, retry_after_ms)
+
+    def waiting_for(self, item: identifiers.Item) -> list[request.Request]:
+        """The requests that wait for an item's load."""
+        return [waiting for waiting in self.queues if waiting.item == item and not waiting.ready]
+
+    def tick_readiness(self) -> None:
+        """Go on with waits, end requests whose time is over, and classify timeouts unheard of."""
         if not self.leased():
             self.expire_unleased()
             return
-        for w in list(self.waits.values()):
-            if not any(q.item == w.item and not q.ready for q in self.lines):
-                del self.waits[w.item]
-                continue
-            if self.now < w.next:
-                continue
-            if not w.began:
-                w.zones = self.zones_for(w.item) if w.answered else w.zones[1:] + w.zones[:1]
-            self.ask_next(w)
-        self.expire()
-        for a, (q, r, until) in list(self.doubts.items()):
-            if self.now >= until:
-                del self.doubts[a]
-                self.classify((q, r, until), None)
+        for wait in list(self.load_waits.values()):
+            self.go_on_with_wait(wait)
+        self.expire_waiting()
+        self.expire_timeout_checks()
         self.pump()
 
-    def expire_unleased(self):
-        """A short loss of the lease is waited out in the line; a longer one is said at once."""
-        over = self.now - self.lease_end > interp.HOLD
-        for q in list(self.lines):
-            if over:
-                self.refuse(q, 503, "no-leader", "no leader is heard")
-            elif self.now >= q.until - self.least(q.item):
-                self.refuse(q, 504, "waited-too-long", f"after {self.now - q.born} ms without a leader")
-
-    def expire(self):
-        for q in [q for q in self.lines if q.state == query.WAIT]:
-            rule = self.rules.items.get(q.item)
-            f = self.fact(q.item)
-            if self.now >= q.until - self.least(q.item):
-                code = "waited-too-long" if q.ready else "readiness-timeout"
-                self.refuse(q, 504, code, f"after {self.now - q.born} ms; phase {f.state or 'asking'}")
-                continue
-            if q.ready:
-                if not self.usable(q.item):
-                    q.ready = False
-                    q.waited = self.now
-                    self.wait_for(q)
-                continue
-            t = q.rule.ready_timeout or (rule.ready_timeout if rule else 0)
-            lim = limits.limit(t, f.expected)
-            if self.now - q.waited >= lim:
-                d = f"limit {lim} ms ended, phase {f.state or 'asking'}, waited {self.now - q.waited} ms"
-                self.refuse(q, 504, "readiness-timeout", d)
-
-    def hear_cellnews(self, src, m):
-        super().hear_cellnews(src, m)
-        for w in self.waits.values():
-            if w.item in self.holders:
-                w.next = self.now
-
-    # after a request timeout
-
-    def timed_out(self, q, run):
-        """Forget that it was warm, ask the controller once, without waking. Only a query that may be
-        resent awaits its word; any other is answered now, from the facts held."""
-        f = self.fact(q.item)
-        f.served = None
-        f.kept = False
-        a = self.ask(q.item, self.zone_of(run.replica), False)
-        if not self.may_resend(q):
-            self.classify((q, run, self.now), f)
+    def go_on_with_wait(self, wait: LoadWait) -> None:
+        """Ask again once that is due; a wait that nothing waits in ends."""
+        if not any(waiting.item == wait.item and not waiting.ready for waiting in self.queues):
+            del self.load_waits[wait.item]
             return
-        q.state = query.ASK
-        self.doubts[a] = (q, run, self.now + CLASSIFY)
-
-    def classify(self, doubt, f):
-        q, run, _ = doubt
-        if q.id not in self.queries:
-            return
-        cold = False
-        if f is not None:
-            since = f.serving_since
-            cold = f.state not in ("loaded", "") or (since is not None and since > run.sent)
-        code = "cold-load-timeout" if cold else "request-timeout"
-        self.note(log_events.Event.TIMEOUT_CLASSIFIED, query=q.id, item=q.item, phase=code)
-        if not self.resend(q, code):
-            self.give_up(q, 504, code, f"{q.item} on {run.replica} after {self.now - run.sent} ms")
-
-    def may_resend(self, q):
-        """Once, only where repeats are harmless, only within credit and time."""
-        late = self.now >= q.until - self.least(q.item)
-        return not (q.rule.once_only or q.resent or late) and self.resend_credit(q, spend=False)
-
-    def resend(self, q, why):
-        """After readiness."""
-        if not self.may_resend(q):
-            return False
-        self.resend_credit(q)
-        q.resent = True
-        self.requeue(q, why)
-        return True
-
-    def requeue(self, q, why):
-        q.state = query.WAIT
-        q.dispatch = ""
-        bad = self.ready_or_wait(q)
-        if bad:
-            self.refuse(q, *bad)
+        if self.now < wait.next_at:
             return
-        self.lines.put(q, front=True)
-        self.pump()
-
-    def on_prewarm(self, ev):
-        self.prewarm(ev.items)
-
-    def prewarm(self, items, pool=""):
+        if not wait.began:
+            wait.zones = self.zones_for(wait.item) if wait.answered else wait.zones[1:] + wait.zones[:1]
+        self.ask_next_zone(wait)
+
+    def expire_unleased(self) -> None:
+        """A short loss of the lease is waited out in the queue; a longer one ends requests at once."""
+        is_long = self.now - self.lease_end > admission.LEASE_GAP_WAITED_MS
+        for waiting in list(self.queues):
+            if is_long:
+                status = http.HTTPStatus.SERVICE_UNAVAILABLE
+                self.reject(waiting, status, "no-leader", "no leader is heard")
+            elif self.now >= waiting.deadline - self.least_time(waiting.item):
+                detail = f"after {self.now - waiting.arrived_at} ms without a leader"
+                self.reject(waiting, http.HTTPStatus.GATEWAY_TIMEOUT, "waited-too-long", detail)
+
+    def expire_waiting(self) -> None:
+        """End requests that waited too long, and let those wait again whose item no longer serves."""
+        for waiting in [waiting for waiting in self.queues if waiting.state is QUEUED]:
+            known = self.model_state(waiting.item)
+            if self.now >= waiting.deadline - self.least_time(waiting.item):
+                code = "waited-too-long" if waiting.ready else "readiness-timeout"
+                phase = known.state or "asking"
+                detail = f"after {self.now - waiting.arrived_at} ms; phase {phase}"
+                self.reject(waiting, http.HTTPStatus.GATEWAY_TIMEOUT, code, detail)
+            elif not waiting.ready:
+                self.expire_unready(waiting, known)
+            elif not self.usable(waiting.item):
+                waiting.ready = False
+                waiting.waiting_since = self.now
+                self.wait_for(waiting)
+
+    def expire_unready(self, waiting: request.Request, known: ModelState) -> None:
+        """End a request whose item was not ready within its limit."""
+        rule = self.rules.items.get(waiting.item)
+        ready_timeout_ms = waiting.rule.ready_timeout or (rule.ready_timeout if rule else 0)
+        wait = decision.Wait(
+            waiting.waiting_since, waiting.deadline, ready_timeout_ms, known.expected_load_ms
+        )
+        ends_at = decision.wait_ends_at(decision.JSON_API, wait)
+        if self.now >= ends_at:
+            phase = known.state or "asking"
+            limit_ms = ends_at - waiting.waiting_since
+            waited_ms = self.now - waiting.waiting_since
+            detail = f"limit {limit_ms} ms ended, phase {phase}, waited {waited_ms} ms"
+            self.reject(waiting, http.HTTPStatus.GATEWAY_TIMEOUT, "readiness-timeout", detail)
+
+    def recheck_waits(self) -> None:
+        """The cells changed: ask at once for items that some replica has come to serve."""
+        for wait in self.load_waits.values():
+            if wait.item in self.holders:
+                wait.next_at = self.now
+
+    def on_prewarm_requested(self, event: events.PrewarmRequested) -> None:
+        """An operator wants items loaded."""
+        self.prewarm(event.items)
+
+    def prewarm(self, items: list[identifiers.Item], pool: str = "") -> None:
         """Ask for items at once without waiting, so that they load together."""
-        for i in items:
-            zs = self.zones_for(i)
-            if zs:
-                self.ask(i, zs[0], True, pool)
+        for item in items:
+            zones = self.zones_for(item)
+            if zones:
+                self.request_status(item, zones[0], True, pool)
 
     # reading without waking
 
-    def runtime_status(self):
-        out = {}
-        for i in self.rules.items:
-            f = self.facts.get(i)
-            st = "unknown" if f is None else ("warm" if self.warm(i) else "cold")
-            out[i] = {
-                "status": st,
-                "state": f.state if f else "",
-                "expected_ms": f.expected if f else 0,
-                "last_load_ms": f.load[1] if f and f.load else None,
-                "holders": len(self.holders.get(i, [])),
+    def runtime_status(self) -> dict[str, dict[str, typing.Any]]:
+        """How each item stands as far as this node knows, for the page of this node."""
+        status = {}
+        for name in self.rules.items:
+            item = identifiers.Item(name)
+            known = self.model_states.get(item)
+            temperature = "warm" if self.is_warm(item) else "cold"
+            status[name] = {
+                "status": temperature if known else "unknown",
+                "state": known.state if known else "",
+                "expected_ms": known.expected_load_ms if known else 0,
+                "last_load_ms": known.last_load_ms if known else None,
+                "holders": len(self.holders.get(item, [])),
             }
-        return out
+        return status
