--- a/tests/test_request_rules.py
+++ b/tests/test_request_rules.py
@@ -170,3 +170,26 @@
             return [(status, json.loads(body)) for status, _, body in got]
 
     assert [status for status, _ in run(go())] == [503, 503]
+
+
+def test_a_stream_s_version_line_is_passed_on_and_the_stream_goes_on_after_it():
+    line = b"weight-versions: 4\n"
+
+    async def cut_after_two(replica, headers, writer):
+        at = int(headers.get("last-event-id", 0)) + 1
+        writer.write(stand.head(headers, **{"Transfer-Encoding": "chunked", "Weight-Versions": "3"}))
+        for i in range(at, 5):
+            writer.write(stand.chunk((line if i == 2 else b"") + stand.event(i)))
+            if at == 1 and i == 2:
+                writer.write(b"40\r\nid: 3\ndata: tor")
+                await writer.drain()
+                writer.close()
+                return
+        writer.write(b"0\r\n\r\n")
+
+    async def go():
+        async with stand.Front([stand.Replica(f"i-{n}", cut_after_two) for n in (1, 2)]) as proxy:
+            status, headers, body = await proxy.ask("/stream/x")
+            return status, headers["weight-versions"], body
+
+    assert run(go()) == (200, "3", stand.event(1) + line + b"".join(stand.event(i) for i in (2, 3, 4)))
