--- a/basaltport/placement/plan_execution.py
+++ b/basaltport/placement/plan_execution.py
@@ -1,39 +1,49 @@
-"""Carrying out plans: one order at a time on a replica, sent again until it is done."""
+"""Carrying out plans: one order at a time on a replica, sent again until it is done. Times in ms."""
 
+import collections.abc
 import enum
 import typing
 
 import basaltport.identifiers as identifiers
 import basaltport.placement.effects as effects
-import basaltport.placement.replica_state as replica
+import basaltport.placement.order_types as order_types
+import basaltport.placement.replica_choice as replica_choice
+import basaltport.placement.replica_state as replica_state
 import basaltport.placement.state as state
 
-UNLOAD_FIRST = 15
-UNLOAD_STEP = 30
-ADAPTER_FIRST = 8
-ADAPTER_STEP = 15
-MOST = 250
-SILENT = 5000
-AGAIN = 100
-PAID = 250
-BAR = 5000
-MOVED_BAR = 1000
-UNKNOWN_MOST = 1000
-GROWTH = 1.4
-DARK = 2
-RECENT = 20
-EARLY = 0.97
-LOAD_STEP = 0.05
-LOAD_STEP_LEAST = 15
-LOAD_STEP_MOST = 120
+UNLOAD_FIRST_MS = 15
+UNLOAD_RETRY_MS = 30
+ADAPTER_FIRST_MS = 8
+ADAPTER_RETRY_MS = 15
+RETRY_MOST_MS = 250
+"""Retries that back off wait no longer than this, unless they began with more."""
+RETRY_GROWTH = 1.4
+ANSWER_LIMIT_MS = 5000
+"""An order that the owner has not answered by then counts as one without an answer."""
+UNKNOWN_RETRY_MS = 100
+UNKNOWN_RETRY_MOST_MS = 1000
+UNKNOWN_DOUBLINGS = 4
+PERMIT_MS = 250
+"""For so long a permit of the store's counts for a load that is sent again."""
+FAILED_BAR_MS = 5000
+MOVED_BAR_MS = 1000
+DURATIONS_KEPT = 20
+FIRST_LOAD_SHARE = 0.97
+"""A load is asked about first after this share of what one in four takes less than."""
+LOAD_RETRY_SHARE = 0.05
+LOAD_RETRY_LEAST_MS = 15
+LOAD_RETRY_MOST_MS = 120
 
 
 class Verdict(enum.StrEnum):
-    """Whether a step may be sent for the first time: it may, it is so already, or the plan is given up."""
+    """What to do with a step that was not sent yet."""
 
     GO = "go"
+    """Send its order."""
     SKIP = "skip"
+    """It is so already."""
     DROP = "drop"
+    """Give up the whole plan."""
 
 
 if typing.TYPE_CHECKING:
@@ -45,259 +55,295 @@
 class PlanExecutionMixin(Needs):
     """Sends the orders of plans and takes their outcomes."""
 
-    def begin(self, p: replica.Replica, goal: str, steps: list[replica.Step], asked: bool) -> None:
+    def begin(
+        self, replica: replica_state.Replica, goal: str, steps: list[replica_state.Step], on_demand: bool
+    ) -> None:
         """Give a replica a plan and send its first order."""
-        p.plan = replica.Plan(goal, steps, asked, self.now)
-        self.active[p.id] = p
-        for i in p.coming():
-            self.coming.setdefault(i, set()).add(p.id)
-        self.show(p)
-        self.work(p)
-
-    def drop(self, p: replica.Replica) -> None:
+        replica.plan = replica_state.Plan(goal, steps, on_demand, self.now)
+        self.working[replica.id] = replica
+        for item in replica.loading():
+            self.loading_on.setdefault(item, set()).add(replica.id)
+        self.update_row(replica)
+        self.continue_plan(replica)
+
+    def drop_plan(self, replica: replica_state.Replica) -> None:
         """Give up a replica's plan."""
-        for i in p.coming():
-            self.uncome(p, i)
-        for s in p.steps():
-            self.orders.pop(s.order, None)
-        p.plan = None
-        self.active.pop(p.id, None)
-        self.dirty = True
-        self.show(p)
-
-    def uncome(self, p: replica.Replica, item: str) -> None:
+        for item in replica.loading():
+            self.stop_loading(replica, item)
+        for step in replica.steps():
+            self.in_flight.pop(step.order, None)
+        replica.plan = None
+        self.working.pop(replica.id, None)
+        self.needs_placing = True
+        self.update_row(replica)
+
+    def stop_loading(self, replica: replica_state.Replica, item: str) -> None:
         """An item is not on its way there any more."""
-        on = self.coming.get(item)
-        if on:
-            on.discard(p.id)
-            if not on:
-                del self.coming[item]
-
-    def work(self, p: replica.Replica) -> None:
-        """Sends the next order of the replica's plan if it is time."""
-        while p.plan and p.plan.steps:
-            s = p.plan.steps[0]
-            if s.order or self.now < s.at or not self.may_order(p.id):
+        replica_ids = self.loading_on.get(item)
+        if replica_ids:
+            replica_ids.discard(replica.id)
+            if not replica_ids:
+                del self.loading_on[item]
+
+    def continue_plan(self, replica: replica_state.Replica) -> None:
+        """Send the next order of the replica's plan if it is time."""
+        while replica.plan and replica.plan.steps:
+            step = replica.plan.steps[0]
+            if step.order or self.now < step.due_at or not self.may_order(replica.id):
                 return
-            verdict = Verdict.GO if s.sent is not None else self.fit(p, s)
+            verdict = Verdict.GO if step.first_sent_at is not None else self.fit(replica, step)
             if verdict == Verdict.DROP:
-                self.drop(p)
+                self.drop_plan(replica)
                 return
             if verdict == Verdict.GO:
-                if self.pay(p, s):
-                    self.send(p, s)
+                if self.take_permit(replica, step):
+                    self.send_order(replica, step)
                 return
-            p.plan.steps.pop(0)
-            if s.kind == replica.LOAD:
-                self.uncome(p, s.item)
-        if p.plan:
-            self.drop(p)
+            replica.plan.steps.pop(0)
+            if step.kind == order_types.OrderKind.LOAD:
+                self.stop_loading(replica, step.item)
+        if replica.plan:
+            self.drop_plan(replica)
 
-    def fit(self, p: replica.Replica, s: replica.Step) -> Verdict:
+    def fit(self, replica: replica_state.Replica, step: replica_state.Step) -> Verdict:
         """What to do with a step that was not sent yet."""
-        if not self.usable(p) or not p.synced or p.plan is None or not self.sought(p.plan):
+        plan = replica.plan
+        if not self.usable(replica) or not replica.verified or plan is None or not self.still_needed(plan):
             return Verdict.DROP
-        h = p.held.get(s.model)
-        there = h is not None and (not s.adapter or s.adapter in h.adapters)
-        if s.kind == replica.UNLOAD:
+        loaded = replica.models.get(step.model)
+        there = loaded is not None and (not step.adapter or step.adapter in loaded.adapters)
+        if step.kind == order_types.OrderKind.UNLOAD:
             return Verdict.GO if there else Verdict.SKIP
         if there:
             return Verdict.SKIP
-        return Verdict.GO if self.has_room(p, s, h) else Verdict.DROP
-
-    def has_room(self, p: replica.Replica, s: replica.Step, h: replica.Held | None) -> bool:
+        return Verdict.GO if self.has_room(replica, step, loaded) else Verdict.DROP
+
+    def has_room(
+        self,
+        replica: replica_state.Replica,
+        step: replica_state.Step,
+        loaded: replica_state.LoadedModel | None,
+    ) -> bool:
         """Whether a load is possible by the configuration and what is held there."""
-        m = self.cat.at(p.service, s.model)
-        if m is None or s.adapter and (h is None or h.leaving or s.adapter not in m.adapters):
+        model = self.catalog.model(replica.service, step.model)
+        if model is None:
+            return False
+        if step.adapter and (loaded is None or loaded.unloading or step.adapter not in model.adapters):
             return False
-        service = self.cat.services[p.service]
-        if p.used(self.cat) + (m.adapter_mb if s.adapter else m.mb) > service.room:
+        service = self.catalog.services[replica.service]
+        needed_mb = model.adapter_mb if step.adapter else model.weights_mb
+        if replica.used_mb(self.catalog) + needed_mb > service.memory_mb:
             return False
-        return not s.adapter or p.places() < service.places
+        return not step.adapter or replica.adapters_held() < service.adapter_slots
 
-    def sought(self, plan: replica.Plan) -> bool:
-        """Whether what a plan is for is still wanted."""
-        return not plan.asked or plan.goal in self.wants or plan.goal in self.wanted_models
+    def still_needed(self, plan: replica_state.Plan) -> bool:
+        """Whether requests still wait for what an on-demand plan is for."""
+        return not plan.on_demand or plan.goal in self.waiting or plan.goal in self.awaited_models
 
-    def pay(self, p: replica.Replica, s: replica.Step) -> bool:
-        """A load that may begin at the store takes a permit, also when it is sent again unanswered."""
-        if not s.store or s.taken or s.paid is not None and self.now - s.paid < PAID:
+    def take_permit(self, replica: replica_state.Replica, step: replica_state.Step) -> bool:
+        """A load that may begin at the store takes a permit, also when it is sent again unanswered. Without
+        one the step is due when the next permit will be there."""
+        if not step.from_store or step.accepted:
+            return True
+        if step.permit_at is not None and self.now - step.permit_at < PERMIT_MS:
             return True
-        b = self.buckets[p.service]
-        if b.take(self.now):
-            s.paid = self.now
+        bucket = self.store_buckets[replica.service]
+        if bucket.take(self.now):
+            step.permit_at = self.now
             return True
-        s.at = b.ready(self.now) or self.now + MOST
+        step.due_at = bucket.ready_at(self.now) or self.now + RETRY_MOST_MS
         return False
 
-    def send(self, p: replica.Replica, s: replica.Step) -> None:
+    def send_order(self, replica: replica_state.Replica, step: replica_state.Step) -> None:
         """Send the order of a step."""
-        self.order_n += 1
-        s.order, s.out = self.order_n, self.now
-        if s.sent is None:
-            s.sent = self.now
-            if s.kind == replica.UNLOAD:
-                self.hide(p, s)
-        self.orders[s.order] = p.id
-        e = effects.Order(
-            s.order,
-            p.id,
-            p.address,
-            s.kind,
-            s.model,
-            s.adapter or None,
+        self.last_order += 1
+        step.order, step.sent_at = self.last_order, self.now
+        if step.first_sent_at is None:
+            step.first_sent_at = self.now
+            if step.kind == order_types.OrderKind.UNLOAD:
+                self.hide_item(replica, step)
+        self.in_flight[step.order] = replica.id
+        order = effects.Order(
+            step.order,
+            replica.id,
+            replica.address,
+            step.kind,
+            step.model,
+            step.adapter or None,
             self.holder,
             identifiers.Fence(self.fence),
         )
-        self.out.append(e)
+        self.out.append(order)
 
-    def hide(self, p: replica.Replica, s: replica.Step) -> None:
+    def hide_item(self, replica: replica_state.Replica, step: replica_state.Step) -> None:
         """What is to be unloaded gets no requests any more."""
-        h = p.held[s.model]
-        if s.adapter:
-            h.off.add(s.adapter)
-            self.unserve(p, s.item)
+        loaded = replica.models[step.model]
+        if step.adapter:
+            loaded.unloading_adapters.add(step.adapter)
+            self.stop_serving(replica, step.item)
         else:
-            h.leaving = True
-            for a in h.adapters:
-                self.unserve(p, f"{s.model}/{a}")
-            self.unserve(p, s.model)
-        self.show(p)
+            loaded.unloading = True
+            for adapter in loaded.adapters:
+                self.stop_serving(replica, f"{step.model}/{adapter}")
+            self.stop_serving(replica, step.model)
+        self.update_row(replica)
 
-    def unhide(self, p: replica.Replica, s: replica.Step) -> None:
+    def show_item(self, replica: replica_state.Replica, step: replica_state.Step) -> None:
         """What was to be unloaded gets requests again."""
-        h = p.held.get(s.model)
-        if h is None:
+        loaded = replica.models.get(step.model)
+        if loaded is None:
             return
-        h.off.discard(s.adapter)
-        h.leaving = h.leaving and bool(s.adapter)
-        self.index(p)
+        loaded.unloading_adapters.discard(step.adapter)
+        loaded.unloading = loaded.unloading and bool(step.adapter)
+        self.index_items(replica)
 
-    def ordered(self, now: int, order: int, outcome: str, took: int = 0) -> state.Effects:
-        """What came of an order."""
+    def ordered(self, now: int, order: int, outcome: str, took_ms: int = 0) -> state.Effects:
+        """What came of an order; `took_ms`: how long its answer took."""
         self.now, self.out = now, []
-        p = self.reps.get(self.orders.pop(order, ""))
-        if not self.on or p is None or p.plan is None or p.plan.steps[0].order != order:
+        replica = self.replicas.get(self.in_flight.pop(order, ""))
+        if not self.leading or replica is None or replica.plan is None:
             return []
-        s = p.plan.steps[0]
-        s.order = 0
-        if outcome == "fenced":
+        step = replica.plan.steps[0]
+        if step.order != order:
+            return []
+        step.order = 0
+        result = order_types.OrderOutcome(outcome)
+        if result is order_types.OrderOutcome.FENCED:
             self.deposed = True
             return self.stop()
-        if outcome != "unknown":
-            p.dark = 0
-        getattr(self, f"on_{outcome}")(p, s)
-        if self.dirty:
+        if result is not order_types.OrderOutcome.UNKNOWN:
+            replica.unanswered = 0
+        self.outcome_handlers()[result](replica, step)
+        if self.needs_placing:
             self.place()
         return self.out
 
-    def on_accepted(self, p: replica.Replica, s: replica.Step) -> None:
+    def outcome_handlers(
+        self,
+    ) -> dict[
+        order_types.OrderOutcome,
+        collections.abc.Callable[[replica_state.Replica, replica_state.Step], None],
+    ]:
+        """What is done with each outcome but FENCED."""
+        return {
+            order_types.OrderOutcome.ACCEPTED: self.order_accepted,
+            order_types.OrderOutcome.DONE: self.order_done,
+            order_types.OrderOutcome.BUSY: self.order_refused_as_busy,
+            order_types.OrderOutcome.FAILED: self.order_failed,
+            order_types.OrderOutcome.UNKNOWN: self.order_unanswered,
+            order_types.OrderOutcome.MOVED: self.order_for_another,
+        }
+
+    def order_accepted(self, replica: replica_state.Replica, step: replica_state.Step) -> None:
         """The order runs; it is sent again for its end."""
-        if s.taken:
-            self.later(s)
+        if step.accepted:
+            self.back_off(step)
             return
-        s.taken = True
-        s.at = self.now + self.first_wait(p, s)
-        s.wait = self.step_wait(p, s)
+        step.accepted = True
+        step.due_at = self.now + self.first_wait_ms(replica, step)
+        step.retry_ms = self.retry_wait_ms(replica, step)
 
-    def later(self, s: replica.Step) -> None:
+    def back_off(self, step: replica_state.Step) -> None:
         """Send it again, each time a little later."""
-        s.at = self.now + int(s.wait)
-        s.wait = min(max(MOST, s.wait), s.wait * GROWTH)
-
-    def on_busy(self, p: replica.Replica, s: replica.Step) -> None:
-        """Another order runs there."""
-        if s.taken or s.unsure:
-            s.wait = s.wait or UNLOAD_STEP
-            self.later(s)
+        step.due_at = self.now + int(step.retry_ms)
+        step.retry_ms = min(max(RETRY_MOST_MS, step.retry_ms), step.retry_ms * RETRY_GROWTH)
+
+    def order_refused_as_busy(self, replica: replica_state.Replica, step: replica_state.Step) -> None:
+        """Another order runs there: this one's former sending, or one that is not known here."""
+        if step.accepted or step.uncertain:
+            step.retry_ms = step.retry_ms or UNLOAD_RETRY_MS
+            self.back_off(step)
             return
-        self.doubt(p)
-        if s.kind == replica.UNLOAD:
-            self.unhide(p, s)
-        self.drop(p)
+        self.distrust(replica)
+        if step.kind == order_types.OrderKind.UNLOAD:
+            self.show_item(replica, step)
+        self.drop_plan(replica)
 
-    def on_unknown(self, p: replica.Replica, s: replica.Step) -> None:
+    def order_unanswered(self, replica: replica_state.Replica, step: replica_state.Step) -> None:
         """No answer came."""
-        s.unsure = True
-        p.dark += 1
-        s.at = self.now + min(UNKNOWN_MOST, AGAIN << min(4, p.dark - 1))
-        if p.dark == DARK:
-            self.dirty = True
-
-    def on_failed(self, p: replica.Replica, s: replica.Step) -> None:
+        step.uncertain = True
+        replica.unanswered += 1
+        backoff_ms = UNKNOWN_RETRY_MS << min(UNKNOWN_DOUBLINGS, replica.unanswered - 1)
+        step.due_at = self.now + min(UNKNOWN_RETRY_MOST_MS, backoff_ms)
+        if replica.unanswered == replica_choice.UNANSWERED_LIMIT:
+            self.needs_placing = True
+
+    def order_failed(self, replica: replica_state.Replica, step: replica_state.Step) -> None:
         """The order was refused, or surely not taken."""
-        p.bars[s.item] = self.now + BAR
-        if p.plan:
-            p.bars[p.plan.goal] = self.now + BAR
-        if s.kind == replica.UNLOAD:
-            self.unhide(p, s)
-        self.doubt(p)
-        self.drop(p)
-
-    def on_moved(self, p: replica.Replica, s: replica.Step) -> None:
-        """Another replica has the address, or the model is not there."""
-        if not s.adapter:
-            self.lose(p)
+        replica.barred_until[step.item] = self.now + FAILED_BAR_MS
+        if replica.plan:
+            replica.barred_until[replica.plan.goal] = self.now + FAILED_BAR_MS
+        if step.kind == order_types.OrderKind.UNLOAD:
+            self.show_item(replica, step)
+        self.distrust(replica)
+        self.drop_plan(replica)
+
+    def order_for_another(self, replica: replica_state.Replica, step: replica_state.Step) -> None:
+        """Another replica has the address, or the model of the adapter is not there."""
+        if not step.adapter:
+            self.remove(replica)
             return
-        p.bars[s.item] = self.now + MOVED_BAR
-        self.unhide(p, s)
-        self.doubt(p)
-        self.drop(p)
+        replica.barred_until[step.item] = self.now + MOVED_BAR_MS
+        self.show_item(replica, step)
+        self.distrust(replica)
+        self.drop_plan(replica)
 
-    def on_done(self, p: replica.Replica, s: replica.Step) -> None:
+    def order_done(self, replica: replica_state.Replica, step: replica_state.Step) -> None:
         """The order is done."""
-        p.steps().pop(0)
-        p.touched[s.item] = self.now
-        if s.kind == replica.LOAD:
-            if s.taken and not s.unsure and s.sent is not None:
-                self.learn(p, s, self.now - s.sent)
-            self.uncome(p, s.item)
-            self.hold(p, s.model, s.adapter)
+        replica.steps().pop(0)
+        replica.changed_at[step.item] = self.now
+        if step.kind == order_types.OrderKind.LOAD:
+            if step.accepted and not step.uncertain and step.first_sent_at is not None:
+                self.note_duration(replica, step, self.now - step.first_sent_at)
+            self.stop_loading(replica, step.item)
+            self.add_item(replica, step.model, step.adapter)
         else:
-            self.unhold(p, s.model, s.adapter)
-        self.show(p)
-        self.work(p)
+            self.remove_item(replica, step.model, step.adapter)
+        self.update_row(replica)
+        self.continue_plan(replica)
 
-    # what loads have taken
+    # how long loads take
 
-    def kind(self, service: str, s: replica.Step) -> tuple[str, str]:
-        """Loads of one kind take about as long."""
-        weights = "disk" if s.disk else "store"
-        return service, "adapter" if s.adapter else weights
+    def load_class(self, service: str, step: replica_state.Step) -> tuple[str, str]:
+        """Loads of one class take about as long."""
+        weights = "disk" if step.from_disk else "store"
+        return service, "adapter" if step.adapter else weights
 
-    def learn(self, p: replica.Replica, s: replica.Step, took: int) -> None:
+    def note_duration(
+        self, replica: replica_state.Replica, step: replica_state.Step, duration_ms: int
+    ) -> None:
         """Keep how long a load took."""
-        last = self.took.setdefault(self.kind(p.service, s), [])
-        last.append(took)
-        del last[:-RECENT]
+        durations = self.load_durations.setdefault(self.load_class(replica.service, step), [])
+        durations.append(duration_ms)
+        del durations[:-DURATIONS_KEPT]
 
-    def first_wait(self, p: replica.Replica, s: replica.Step) -> int:
+    def first_wait_ms(self, replica: replica_state.Replica, step: replica_state.Step) -> int:
         """When to ask first for the end of an order."""
-        if s.kind == replica.UNLOAD:
-            return UNLOAD_FIRST
-        if s.adapter:
-            return ADAPTER_FIRST
-        last = sorted(self.took.get(self.kind(p.service, s), ()))
-        if last:
-            return int(last[len(last) // 4] * EARLY)
-        return int(self.load_ms(p.service, s.model, s.disk))
-
-    def step_wait(self, p: replica.Replica, s: replica.Step) -> float:
-        """How long to wait between asking again."""
-        if s.kind == replica.UNLOAD:
-            return UNLOAD_STEP
-        if s.adapter:
-            return ADAPTER_STEP
-        step = self.load_ms(p.service, s.model, s.disk) * LOAD_STEP
-        return min(LOAD_STEP_MOST, max(LOAD_STEP_LEAST, step))
-
-    def check(self) -> None:
-        """Orders that are due again, and those whose answer the shell owes for too long."""
-        for p in list(self.active.values()):
-            steps = p.steps()
-            s = steps[0] if steps else None
-            if s and s.order and self.now - s.out > SILENT:
-                self.orders.pop(s.order, None)
-                s.order = 0
-                self.on_unknown(p, s)
-            self.work(p)
+        if step.kind == order_types.OrderKind.UNLOAD:
+            return UNLOAD_FIRST_MS
+        if step.adapter:
+            return ADAPTER_FIRST_MS
+        durations = sorted(self.load_durations.get(self.load_class(replica.service, step), ()))
+        if durations:
+            return int(durations[len(durations) // 4] * FIRST_LOAD_SHARE)
+        return int(self.load_ms(replica.service, step.model, step.from_disk))
+
+    def retry_wait_ms(self, replica: replica_state.Replica, step: replica_state.Step) -> float:
+        """How long to wait before asking again."""
+        if step.kind == order_types.OrderKind.UNLOAD:
+            return UNLOAD_RETRY_MS
+        if step.adapter:
+            return ADAPTER_RETRY_MS
+        wait_ms = self.load_ms(replica.service, step.model, step.from_disk) * LOAD_RETRY_SHARE
+        return min(LOAD_RETRY_MOST_MS, max(LOAD_RETRY_LEAST_MS, wait_ms))
+
+    def continue_plans(self) -> None:
+        """Send orders that are due again, also those that the owner has not answered for too long."""
+        for replica in list(self.working.values()):
+            steps = replica.steps()
+            step = steps[0] if steps else None
+            if step and step.order and self.now - step.sent_at > ANSWER_LIMIT_MS:
+                self.in_flight.pop(step.order, None)
+                step.order = 0
+                self.order_unanswered(replica, step)
+            self.continue_plan(replica)
--- a/basaltport/placement/replica_choice.py
+++ b/basaltport/placement/replica_choice.py
@@ -1,35 +1,57 @@
-"""Which replica takes an item, and what gives way for it. Costs are in ms that requests will wait."""
+"""Which replica takes an item, and what is unloaded there for it.
+
+Costs are in ms that requests are likely to wait: for the load itself, for what runs beside it, and for what
+is unloaded and then asked for again. The cheapest replica takes the item.
+"""
 
 import typing
 
 import basaltport.placement.catalog as catalog
-import basaltport.placement.replica_state as replica
+import basaltport.placement.order_types as order_types
+import basaltport.placement.replica_rows as replica_rows
+import basaltport.placement.replica_state as replica_state
 import basaltport.placement.state as state
 
-FRESH = 1000
-COPY_FRESH = 3000
-AWAY = 80
-ROOMY = 150
-SCARCE = 100
-EVICT = 40
-IN_USE = 1500
-KEPT = 3000
-WAITED = 6000
-SOFT = 1200
-HUNGRY = 5900
-OTHERS = 0.3
-DARK = 2
-CHORES_MOST = 300
-
-T = typing.TypeVar("T")
-
-
-class Picked(typing.NamedTuple, typing.Generic[T]):
+FRESH_MS = 1000
+"""What came less than this ago is not unloaded,"""
+COPY_FRESH_MS = 3000
+"""nor what came less than this ago, for a copy that nobody waits for."""
+OTHER_ZONE_COST = 80
+EMPTY_GAIN = 150
+"""How much better it is to take free memory than to unload something."""
+STORE_COST = 100
+"""A load from the store takes one of its permits from others."""
+EVICTION_COST = 40
+IN_USE_COST = 1500
+KEPT_COST = 3000
+"""For the only copy of a hot model in a zone that asks for it much."""
+AWAITED_COST = 6000
+"""For the only copy of a model that requests wait for, or for adapters of it."""
+SPARE_COST_LIMIT = 1200
+"""A copy that is only of use unloads nothing that costs as much."""
+HOT_COST_LIMIT = 5900
+"""A copy that a hot model lacks unloads nothing that costs as much."""
+OTHER_COPIES_FACTOR = 0.3
+UNANSWERED_LIMIT = 2
+"""A replica that left so many orders in a row unanswered gets no requests and no plans."""
+ADAPTER_LOADS_MOST_COST = 300
+
+Unloaded = typing.TypeVar("Unloaded")
+
+
+class Choice(typing.NamedTuple, typing.Generic[Unloaded]):
     """A replica that takes an item, at what cost, and what is unloaded there for it."""
 
     cost: float
-    replica: replica.Replica
-    out: list[T]
+    replica: replica_state.Replica
+    unloads: list[Unloaded]
+
+
+class Eviction(typing.NamedTuple, typing.Generic[Unloaded]):
+    """What is unloaded to make room, and its cost."""
+
+    cost: float
+    unloads: list[Unloaded]
 
 
 if typing.TYPE_CHECKING:
@@ -41,164 +63,200 @@
 class ReplicaChoiceMixin(Needs):
     """Needs the state of Placement; changes none of it."""
 
-    def usable(self, p: replica.Replica) -> bool:
+    def usable(self, replica: replica_state.Replica) -> bool:
         """Whether requests may go to a replica."""
-        return p.state == "ready" and p.leaves is None and p.zone not in self.drains and p.dark < DARK
+        return (
+            replica.state == replica_rows.READY
+            and replica.leaves_in_ms is None
+            and replica.zone not in self.evacuated_zones
+            and replica.unanswered < UNANSWERED_LIMIT
+        )
 
-    def free(self) -> list[replica.Replica]:
+    def free_replicas(self) -> list[replica_state.Replica]:
         """Replicas that could begin a plan now."""
-        if self.now < self.ready_at:
+        if self.now < self.orders_from:
             return []
-        fit = [p for p in self.reps.values() if p.plan is None and p.synced and p.engine and self.usable(p)]
-        return [p for p in fit if self.may_order(p.id)]
+        fit = [
+            replica
+            for replica in self.replicas.values()
+            if replica.plan is None and replica.verified and replica.has_engine and self.usable(replica)
+        ]
+        return [replica for replica in fit if self.may_order(replica.id)]
 
-    def held(self, item: str) -> bool:
+    def is_held(self, item: str) -> bool:
         """Whether a usable replica serves it."""
-        return any(self.usable(self.reps[r]) for r in self.holders.get(item, ()))
+        return any(self.usable(self.replicas[i]) for i in self.holders.get(item, ()))
 
-    def copies(self, item: str) -> list[replica.Replica]:
+    def copies(self, item: str) -> list[replica_state.Replica]:
         """The usable replicas that serve it."""
-        return [self.reps[r] for r in self.holders.get(item, ()) if self.usable(self.reps[r])]
-
-    def pick(
-        self, model: str, zones: state.Waiting, free: list[replica.Replica], most: float | None = None
-    ) -> Picked[str] | None:
-        """(cost, replica, models to unload) or None; `zones`: {zone: waiting}; `most`: what costs as much or
-        more is not taken from anyone."""
-        best: Picked[str] | None = None
-        n, on = sum(zones.values()), self.disks.get(model, set())
-        for p in free:
-            disk = p.id in on
-            if not disk and self.permits.get(p.service, 0) < 1:
+        return [self.replicas[i] for i in self.holders.get(item, ()) if self.usable(self.replicas[i])]
+
+    # models
+
+    def choose_for_model(
+        self,
+        model: str,
+        requests: state.RequestsByZone,
+        free: list[replica_state.Replica],
+        cost_limit: float | None = None,
+    ) -> Choice[str] | None:
+        """The cheapest of the free replicas for a model, with the models to unload there, or None.
+        `cost_limit`: nothing is unloaded whose loss costs as much or more."""
+        best: Choice[str] | None = None
+        total, with_weights = sum(requests.values()), self.disk_copies.get(model, set())
+        for replica in free:
+            from_disk = replica.id in with_weights
+            if not from_disk and self.permits.get(replica.service, 0) < 1:
                 continue
-            m = self.cat.at(p.service, model)
-            if m is None or model in p.held or p.bars.get(model, 0) > self.now:
+            known = self.catalog.model(replica.service, model)
+            barred = replica.barred_until.get(model, 0) > self.now
+            if known is None or model in replica.models or barred:
                 continue
-            cost = self.load_ms(p.service, model, disk) + (0 if disk else SCARCE)
-            cost += AWAY * (1 - zones.get(p.zone, 0) / n) if n else 0
-            cost += 100 * p.running / p.slots + self.chores(p) + self.rng.random()
-            if best and cost - ROOMY >= best.cost:
+            cost = self.load_ms(replica.service, model, from_disk) + (0 if from_disk else STORE_COST)
+            cost += OTHER_ZONE_COST * (1 - requests.get(replica.zone, 0) / total) if total else 0
+            busy_cost = 100 * replica.running / replica.slots + self.adapter_loads_cost(replica)
+            cost += busy_cost + self.rng.random()
+            if best and cost - EMPTY_GAIN >= best.cost:
                 continue
-            got = self.make_room(p, m.mb, most)
-            if got is None:
+            eviction = self.make_room(replica, known.weights_mb, cost_limit)
+            if eviction is None:
                 continue
-            cost += got[0] if got[1] else -ROOMY
+            cost += eviction.cost if eviction.unloads else -EMPTY_GAIN
             if best is None or cost < best.cost:
-                best = Picked(cost, p, got[1])
+                best = Choice(cost, replica, eviction.unloads)
         return best
 
-    def chores(self, p: replica.Replica) -> float:
+    def adapter_loads_cost(self, replica: replica_state.Replica) -> float:
         """A long load holds up the adapters that are asked for of what is there."""
-        return min(
-            CHORES_MOST, 100 * sum(self.chore_rate[m].read(self.now) for m in p.held if m in self.chore_rate)
-        )
+        rates = [self.adapter_loads[m].read(self.now) for m in replica.models if m in self.adapter_loads]
+        return min(ADAPTER_LOADS_MOST_COST, 100 * sum(rates))
 
     def make_room(
-        self, p: replica.Replica, mb: float, most: float | None = None, keep: str = ""
-    ) -> tuple[float, list[str]] | None:
-        """(cost, models to unload) or None; what is fresh, or costs `most` or more, stays."""
-        room = self.cat.services[p.service].room - p.used(self.cat)
-        if room >= mb:
-            return 0.0, []
-        costs = []
-        fresh = COPY_FRESH if most == SOFT else FRESH
-        for m, h in p.held.items():
-            c = None if h.leaving or m == keep or self.now - h.since < fresh else self.loss(p, m)
-            if c is not None and (most is None or c < most):
-                costs.append((c, self.now - self.idle(m), m))
-        costs.sort()
-        cost = 0.0
-        out: list[str] = []
-        for c, _, m in costs:
-            h = p.held[m]
-            room += self.cat.size(p.service, m) + len(h.adapters) * self.cat.size(p.service, m, "*")
-            cost += c + EVICT
-            out.append(m)
-            if room >= mb:
-                return cost, out
+        self,
+        replica: replica_state.Replica,
+        needed_mb: float,
+        cost_limit: float | None = None,
+        keep: str = "",
+    ) -> Eviction[str] | None:
+        """The cheapest models to unload, or None where there is no room. What is fresh stays, and what costs
+        `cost_limit` or more, and the model `keep`."""
+        free_mb = self.catalog.services[replica.service].memory_mb - replica.used_mb(self.catalog)
+        if free_mb >= needed_mb:
+            return Eviction(0.0, [])
+        fresh_ms = COPY_FRESH_MS if cost_limit == SPARE_COST_LIMIT else FRESH_MS
+        candidates = []
+        for model, loaded in replica.models.items():
+            stays = loaded.unloading or model == keep or self.now - loaded.since < fresh_ms
+            cost = None if stays else self.model_loss(replica, model)
+            if cost is not None and (cost_limit is None or cost < cost_limit):
+                candidates.append((cost, self.now - self.idle_ms(model), model))
+        candidates.sort()
+        total = 0.0
+        unloads: list[str] = []
+        for cost, _, model in candidates:
+            adapters = len(replica.models[model].adapters)
+            adapter_mb = self.catalog.size_mb(replica.service, model, "*")
+            free_mb += self.catalog.size_mb(replica.service, model) + adapters * adapter_mb
+            total += cost + EVICTION_COST
+            unloads.append(model)
+            if free_mb >= needed_mb:
+                return Eviction(total, unloads)
         return None
 
-    def loss(self, p: replica.Replica, model: str) -> float | None:
+    def model_loss(self, replica: replica_state.Replica, model: str) -> float | None:
         """What it costs to take a model from a replica; None where a hot one would have too few copies."""
-        others = len(self.holders.get(model, ())) - (p.id in self.holders.get(model, ()))
-        ms = self.load_ms(p.service, model, True)
-        c = ms * min(1.0, 3 * self.rate(model)) + 100 / (1 + self.idle(model) / 1000)
+        others = len(self.holders.get(model, ())) - (replica.id in self.holders.get(model, ()))
+        reload_ms = self.load_ms(replica.service, model, True)
+        cost = reload_ms * min(1.0, 3 * self.request_rate(model)) + 100 / (1 + self.idle_ms(model) / 1000)
         if others > 0:
-            c *= OTHERS
+            cost *= OTHER_COPIES_FACTOR
         if self.in_use(model):
-            c += IN_USE
-        hot = self.hot.get(model)
-        if hot and others < hot.due:
+            cost += IN_USE_COST
+        hot = self.hot_models.get(model)
+        if hot and others < hot.copies_due:
             return None
-        if hot and self.alone(p, model, hot.zones):
-            c += KEPT + 10 * hot.rate
-        if model in self.wanted_models and not others:
-            c += WAITED
-        return c
-
-    def alone(self, p: replica.Replica, model: str, zones: set[str]) -> bool:
-        """Whether it is the only holder in its zone, one of those given."""
-        if p.zone not in zones:
+        if hot and self.only_copy_in_zone(replica, model, hot.zones):
+            cost += KEPT_COST + 10 * hot.rate
+        if model in self.awaited_models and not others:
+            cost += AWAITED_COST
+        return cost
+
+    def only_copy_in_zone(self, replica: replica_state.Replica, model: str, zones: set[str]) -> bool:
+        """Whether it is the only one that serves a model in its zone, which is one of those given."""
+        if replica.zone not in zones:
             return False
-        return not any(self.reps[r].zone == p.zone for r in self.holders.get(model, ()) if r != p.id)
+        others = [i for i in self.holders.get(model, ()) if i != replica.id]
+        return not any(self.replicas[i].zone == replica.zone for i in others)
+
+    # adapters
 
-    def pick_adapter(
-        self, item: str, zones: state.Waiting, free: list[replica.Replica]
-    ) -> Picked[replica.Step] | None:
-        """(cost, replica, adapters and models to unload) or None, where the model is."""
+    def choose_for_adapter(
+        self, item: str, requests: state.RequestsByZone, free: list[replica_state.Replica]
+    ) -> Choice[replica_state.Step] | None:
+        """The cheapest of the free replicas with the adapter's model, and the unloads there, or None."""
         model, _, adapter = item.partition("/")
-        best: Picked[replica.Step] | None = None
-        n = sum(zones.values())
-        on = self.holders.get(model, set())
-        for p in free:
-            if p.id not in on or p.bars.get(item, 0) > self.now or adapter in p.held[model].adapters:
+        best: Choice[replica_state.Step] | None = None
+        total = sum(requests.values())
+        with_model = self.holders.get(model, set())
+        for replica in free:
+            barred = replica.barred_until.get(item, 0) > self.now
+            if replica.id not in with_model or barred or adapter in replica.models[model].adapters:
                 continue
-            m = self.cat.at(p.service, model)
-            if m is None or adapter not in m.adapters:
+            known = self.catalog.model(replica.service, model)
+            if known is None or adapter not in known.adapters:
                 continue
-            cost = AWAY * (1 - zones.get(p.zone, 0) / n) if n else 0.0
-            cost += 100 * p.running / p.slots
-            got = self.make_place(p, m)
-            if got is None:
+            cost = OTHER_ZONE_COST * (1 - requests.get(replica.zone, 0) / total) if total else 0.0
+            cost += 100 * replica.running / replica.slots
+            eviction = self.make_adapter_room(replica, known)
+            if eviction is None:
                 continue
-            cost += got[0]
+            cost += eviction.cost
             if best is None or cost < best.cost:
-                best = Picked(cost, p, got[1])
+                best = Choice(cost, replica, eviction.unloads)
         return best
 
-    def make_place(self, p: replica.Replica, m: catalog.Model) -> tuple[float, list[replica.Step]] | None:
-        """(cost, unloads) that make place for an adapter, or None."""
-        s = self.cat.services[p.service]
-        room, places = s.room - p.used(self.cat), s.places - p.places()
-        if room >= m.adapter_mb and places >= 1:
-            return 0.0, []
-        costs = []
-        for model, h in p.held.items():
-            for a, since in h.adapters.items():
-                if not h.leaving and self.now - since >= FRESH:
-                    costs.append((self.adapter_loss(f"{model}/{a}"), model, a))
-        costs.sort()
-        cost = 0.0
-        out: list[replica.Step] = []
-        for c, model, a in costs:
-            if room >= m.adapter_mb and places >= 1:
+    def make_adapter_room(
+        self, replica: replica_state.Replica, model: catalog.Model
+    ) -> Eviction[replica_state.Step] | None:
+        """The cheapest unloads that make room for a model's adapter, or None: of adapters, else of models."""
+        service = self.catalog.services[replica.service]
+        free_mb = service.memory_mb - replica.used_mb(self.catalog)
+        free_slots = service.adapter_slots - replica.adapters_held()
+        total = 0.0
+        unloads: list[replica_state.Step] = []
+        if free_mb >= model.adapter_mb and free_slots >= 1:
+            return Eviction(total, unloads)
+        for cost, name, adapter in self.adapter_losses(replica):
+            if free_mb >= model.adapter_mb and free_slots >= 1:
                 break
-            room += self.cat.size(p.service, model, a)
-            places += 1
-            cost += c + EVICT
-            out.append(replica.Step(replica.UNLOAD, model, a))
-        if room >= m.adapter_mb and places >= 1:
-            return cost, out
-        if places < 1:
+            free_mb += self.catalog.size_mb(replica.service, name, adapter)
+            free_slots += 1
+            total += cost + EVICTION_COST
+            unloads.append(replica_state.Step(order_types.OrderKind.UNLOAD, name, adapter))
+        if free_mb >= model.adapter_mb and free_slots >= 1:
+            return Eviction(total, unloads)
+        if free_slots < 1:
             return None
-        got = self.make_room(p, m.adapter_mb, None, m.name)
-        return got and (got[0], [replica.Step(replica.UNLOAD, x) for x in got[1]])
+        eviction = self.make_room(replica, model.adapter_mb, None, model.name)
+        if eviction is None:
+            return None
+        unload = order_types.OrderKind.UNLOAD
+        return Eviction(eviction.cost, [replica_state.Step(unload, name) for name in eviction.unloads])
+
+    def adapter_losses(self, replica: replica_state.Replica) -> list[tuple[float, str, str]]:
+        """The cost, model and name of each adapter that may be unloaded, the cheapest first."""
+        losses = []
+        for model, loaded in replica.models.items():
+            for adapter, since in loaded.adapters.items():
+                if not loaded.unloading and self.now - since >= FRESH_MS:
+                    losses.append((self.adapter_loss(f"{model}/{adapter}"), model, adapter))
+        return sorted(losses)
 
     def adapter_loss(self, item: str) -> float:
         """What it costs to take an adapter from a replica."""
-        c = 1000 / (1 + self.idle(item) / 1000)
+        cost = 1000 / (1 + self.idle_ms(item) / 1000)
         if len(self.holders.get(item, ())) > 1:
-            c *= OTHERS
+            cost *= OTHER_COPIES_FACTOR
         if self.in_use(item):
-            c += IN_USE
-        return c + (WAITED if item in self.wants else 0)
+            cost += IN_USE_COST
+        return cost + (AWAITED_COST if item in self.waiting else 0)
--- a/basaltport/simulation/query_api/world/world.py
+++ b/basaltport/simulation/query_api/world/world.py
@@ -145,7 +145,7 @@
         self.log("stop", node=name)
         n.stopping = True
         end = self.now + 10_000
-        self.run_until(lambda: not getattr(n.member, "queries", None) or self.now >= end, 10_500)
+        self.run_until(lambda: not getattr(n.member, "requests", None) or self.now >= end, 10_500)
         self.step(n, events.Stop(self.now))
         self.run(100)
         self.kill(name)
--- a/tests/test_route_scenarios.py
+++ b/tests/test_route_scenarios.py
@@ -2,14 +2,14 @@
 
 import pytest
 
-import basaltport.consensus.elect as elect
+import basaltport.consensus.election as election
 import basaltport.fleet.follow as follow
 import basaltport.controller.operator_requests as desk
 import basaltport.controller.shard_ownership as duties
-import basaltport.placement.replica_choice as choose
+import basaltport.placement.replica_choice as replica_choice
 import basaltport.placement.machine as machine
-import basaltport.placement.plan_execution as orders
-import basaltport.placement.token_bucket as store
+import basaltport.placement.plan_execution as plan_execution
+import basaltport.placement.token_bucket as token_bucket
 import basaltport.simulation.routes.mayhem as routemayhem
 import basaltport.simulation.routes.request_rows as request_rows
 import basaltport.simulation.routes.scenes as routescenes
@@ -46,8 +46,8 @@
 
 # mutations
 
-_refuse, _judged = node.ProxyNode.refuse, desk.DeskMixin.judged
-_wanted = machine.Placement.wanted
+_refuse, _judged = node.ProxyNode.reject, desk.DeskMixin.judged
+_requests_waiting = machine.Placement.requests_waiting
 
 
 def _all_may_go_again(known):
@@ -58,12 +58,12 @@
     return retry_decision.Move.REFUSE
 
 
-def _any_state(self, r, row):
-    return row["zone"] not in self.book["drains"]
+def _any_state(self, replica):
+    return replica.zone not in self.node.evacuated_zones()
 
 
-def _any_zone(self, r, row):
-    return row["state"] == "ready"
+def _any_zone(self, replica):
+    return replica.state == "ready"
 
 
 def _book_once(self, m):
@@ -78,7 +78,7 @@
     old = getattr(self, "old", None)
     if old is None or doc["edition"] <= old["edition"]:
         self.old = doc
-    elif self.now - self.born > 12_000:
+    elif self.now - self.budgets.started_at > 12_000:
         self.book = {**self.book, "manifest": old}
 
 
@@ -109,12 +109,12 @@
     return [(token, True) for token, _, _ in batch]
 
 
-def _no_room_needed(self, p, mb, most=None, keep=""):
-    return 0.0, []
+def _no_room_needed(self, replica, needed_mb, cost_limit=None, keep=""):
+    return replica_choice.Eviction(0.0, [])
 
 
 def _not_m20(self, now, zone, items):
-    return _wanted(self, now, zone, {i: n for i, n in items.items() if i != "m20"})
+    return _requests_waiting(self, now, zone, {i: n for i, n in items.items() if i != "m20"})
 
 
 def _now(self, q, why, retry_after):
@@ -130,8 +130,8 @@
     return not self.tip()["roster"]
 
 
-def _go(self, p, s):
-    return "go"
+def _go(self, replica, step):
+    return plan_execution.Verdict.GO
 
 
 CASES = [
@@ -140,34 +140,37 @@
         "replicas-ill",
         [
             (retry_decision, "proven_safe", _all_may_go_again),
-            (routing.Route, "repeatable", lambda self: True),
+            (routing.Route, "is_repeatable", lambda self: True),
         ],
     ),
     ("promise", "replicas-ill", [(retry_decision, "give_up", _all_is_refused)]),
-    ("draining", "released-one-by-one", [(load_balancing.PickMixin, "open", _any_state)]),
-    ("evacuated", "evacuation-while-a-keeper-dies", [(load_balancing.PickMixin, "open", _any_zone)]),
+    ("draining", "released-one-by-one", [(load_balancing.LoadBalancer, "is_open", _any_state)]),
+    ("evacuated", "evacuation-while-a-keeper-dies", [(load_balancing.LoadBalancer, "is_open", _any_zone)]),
     ("in-force", "quiet", [(follow.FollowMixin, "take_book", _book_once)]),
     ("back", "quiet", [(follow.FollowMixin, "take_book", _forgets)]),
-    ("agreed", "power-loss", [(simdisk.SimDisk, "done", _not_written)]),
+    ("agreed", "power-loss", [(simdisk.VirtualDisk, "done", _not_written)]),
     ("fed", "rare-models-at-once", [(follow.FollowMixin, "take_rows", _rows_once)]),
     ("refused", "operators-race", [(desk.DeskMixin, "judged", _taken_though_refused)]),
     ("refused", "operators-race", [(desk.DeskMixin, "judged", _no_compare)]),
-    ("survives", "power-loss", [(simdisk.SimDisk, "done", _not_written)]),
-    ("resends", "replicas-refuse", [(retry_budget.Retries, "room", lambda self, now, nodes: True)]),
-    ("cold", "replicas-cold", [(load_balancing.PickMixin, "cold_share", lambda self, r, row: 10**6)]),
-    ("store", "rare-models-at-once", [(store.TokenBucket, "fill", _endless)]),
+    ("survives", "power-loss", [(simdisk.VirtualDisk, "done", _not_written)]),
+    ("resends", "replicas-refuse", [(retry_budget.RetryBudget, "has_room", lambda self, now, nodes: True)]),
+    ("cold", "replicas-cold", [(load_balancing.LoadBalancer, "slow_start_share", lambda self, row: 10**6)]),
+    ("store", "rare-models-at-once", [(token_bucket.TokenBucket, "fill", _endless)]),
     (
         "room",
         "rare-models-at-once",
-        [(choose.ReplicaChoiceMixin, "make_room", _no_room_needed), (orders.PlanExecutionMixin, "fit", _go)],
+        [
+            (replica_choice.ReplicaChoiceMixin, "make_room", _no_room_needed),
+            (plan_execution.PlanExecutionMixin, "fit", _go),
+        ],
     ),
-    ("starved", "rare-models-at-once", [(machine.Placement, "wanted", _not_m20)]),
-    ("back", "all-killed", [(elect.ElectMixin, "quorum", _only_founding)]),
-    ("final-word", "replicas-refuse", [(node.ProxyNode, "refuse", _now)]),
+    ("starved", "rare-models-at-once", [(machine.Placement, "requests_waiting", _not_m20)]),
+    ("back", "all-killed", [(election.ElectionMixin, "quorum", _only_founding)]),
+    ("final-word", "replicas-refuse", [(node.ProxyNode, "reject", _now)]),
     (
         "held",
         "rare-models-at-once",
-        [(node.ProxyNode, "expire", lambda self: None), (machine.Placement, "wanted", _not_m20)],
+        [(node.ProxyNode, "expire", lambda self: None), (machine.Placement, "requests_waiting", _not_m20)],
     ),
     ("acked", "quiet", [(desk.DeskMixin, "acknowledge", lambda self, w: None)]),
 ]
