--- a/tests/test_halves.py
+++ b/tests/test_halves.py
@@ -13,7 +13,7 @@
     w = run.founded(schedule.Schedule(3, members, False, ()), rough=False)
     w.run(9000)
     leader = w.leader()
-    return w, leader, [n.name for n in w.keepers() if n.name != leader]
+    return w, leader, [n.name for n in w.controllers() if n.name != leader]
 
 
 def split(w, *groups):
