--- a/basaltport/placement/model_status.py
+++ b/basaltport/placement/model_status.py
@@ -1,15 +1,48 @@
-"""What a proxy is told about an item, as ADR 0041 wants it."""
+"""What a proxy is told about an item that it has no replica for: ADR 0041's facts."""
 
+import enum
 import typing
 
-import basaltport.placement.replica_state as replica
-import basaltport.placement.state as state
 import basaltport.cold_start.limits as limits
+import basaltport.placement.replica_rows as replica_rows
+import basaltport.placement.replica_state as replica_state
+import basaltport.placement.state as state
+
+IDLE_WINDOW_MS = 60_000
+ADAPTER_LOAD_MS = 50
+"""What a load of an adapter takes, as long as none was measured."""
+DISK_FACTOR = 0.65
+"""A load from a replica's own disk takes this much of one from the store."""
+UNKNOWN_LOAD_MS = 1000
+NOT_SERVING = -1
+RETRY_LEAST_MS = 100
+RETRY_MOST_MS = 1000
+
+
+class ModelState(enum.StrEnum):
+    """How an item stands."""
+
+    LOADED = "loaded"
+    LOADING = "loading"
+    UNAVAILABLE = "unavailable"
+
+
+class ModelStatus(typing.NamedTuple):
+    """How an item stands, and how long what requests for it wait for may take; times in ms."""
 
-IDLE_WINDOW = 60_000
-ADAPTER = 50
-OWN_DISK = 0.65
-UNKNOWN_LOAD = 1000
+    state: ModelState
+    retry_after_ms: int
+    expected_ms: int
+    """The 90th percentile of the last loads of its kind."""
+    kept: bool
+    """Whether it is hot, so that copies of it stay."""
+    idle_window_ms: int
+    serving_for_ms: int
+    """For how long a replica has held it; -1 where none does."""
+
+    def document(self) -> replica_rows.Document:
+        """The form in which proxies are told."""
+        return {**self._asdict(), "state": self.state.value}
 
 
 if typing.TYPE_CHECKING:
@@ -23,81 +56,79 @@
 
     now: int
 
-    def load_ms(self, service: str, model: str, disk: bool) -> float:
+    def load_ms(self, service: str, model: str, from_disk: bool) -> float:
         """What a load is likely to take: the median of the last ones, else as configured."""
-        last = self.took.get((service, "disk" if disk else "store"))
-        if last:
-            return sorted(last)[len(last) // 2]
-        m = self.cat.at(service, model)
-        return (m.load_ms if m else UNKNOWN_LOAD) * (OWN_DISK if disk else 1)
-
-    def expected(self, item: str) -> float:
-        """The 90th percentile of the last 20 loads of that kind, in ms."""
+        durations = self.load_durations.get((service, "disk" if from_disk else "store"))
+        if durations:
+            return sorted(durations)[len(durations) // 2]
+        known = self.catalog.model(service, model)
+        return (known.load_ms if known else UNKNOWN_LOAD_MS) * (DISK_FACTOR if from_disk else 1)
+
+    def expected_ms(self, item: str) -> float:
+        """The 90th percentile of the last 20 loads of that kind."""
         model, _, adapter = item.partition("/")
-        homes = self.cat.homes.get(model, ())
-        if not homes:
+        services = self.catalog.services_of.get(model, ())
+        if not services:
             return 0
-        s = homes[0]
-        disk = any(self.reps[r].next_step().disk for r in self.coming.get(model, ()))
-        ms: float = limits.expected(
-            self.took.get((s.name, "disk" if disk else "store")), s.models[model].load_ms
-        )
+        service = services[0]
+        on_disk = any(self.replicas[i].next_step().from_disk for i in self.loading_on.get(model, ()))
+        durations = self.load_durations.get((service.name, "disk" if on_disk else "store"))
+        model_ms: float = limits.expected(durations, service.models[model].load_ms)
         if not adapter:
-            return ms
-        own: float = limits.expected(self.took.get((s.name, "adapter")), ADAPTER)
-        return own if self.held(model) else ms + own
+            return model_ms
+        durations = self.load_durations.get((service.name, "adapter"))
+        adapter_ms: float = limits.expected(durations, ADAPTER_LOAD_MS)
+        return adapter_ms if self.is_held(model) else model_ms + adapter_ms
 
-    def facts(self, now: int, item: str) -> state.Row:
-        """The facts of one item; `serving_for_ms` is -1 where it isn't held."""
+    def model_status(self, now: int, item: str) -> ModelStatus:
+        """How one item stands."""
         self.now = now
-        model = item.partition("/")[0]
-        on = self.copies(item)
-        out: state.Row = {
-            "state": "loaded",
-            "retry_after_ms": 100,
-            "expected_ms": int(self.expected(item)),
-            "kept": model in self.hot,
-            "idle_window_ms": IDLE_WINDOW,
-            "serving_for_ms": -1,
-        }
-        if on:
-            out["serving_for_ms"] = max(0, now - min(self.since(p, item) for p in on))
-            return out
-        out["state"] = "loading" if self.possible(item) else "unavailable"
-        out["retry_after_ms"] = int(min(1000, max(100, self.remains(item, out["expected_ms"]) / 2)))
-        return out
-
-    def since(self, p: replica.Replica, item: str) -> int:
+        expected_ms = int(self.expected_ms(item))
+        kept = item.partition("/")[0] in self.hot_models
+        copies = self.copies(item)
+        if copies:
+            serving_for_ms = max(0, now - min(self.held_since(replica, item) for replica in copies))
+            return ModelStatus(
+                ModelState.LOADED, RETRY_LEAST_MS, expected_ms, kept, IDLE_WINDOW_MS, serving_for_ms
+            )
+        found = ModelState.LOADING if self.can_be_held(item) else ModelState.UNAVAILABLE
+        retry_ms = int(min(RETRY_MOST_MS, max(RETRY_LEAST_MS, self.remaining_ms(item, expected_ms) / 2)))
+        return ModelStatus(found, retry_ms, expected_ms, kept, IDLE_WINDOW_MS, NOT_SERVING)
+
+    def held_since(self, replica: replica_state.Replica, item: str) -> int:
         """When an item came to a replica."""
         model, _, adapter = item.partition("/")
-        h = p.held[model]
-        return h.adapters[adapter] if adapter else h.since
+        loaded = replica.models[model]
+        return loaded.adapters[adapter] if adapter else loaded.since
 
-    def remains(self, item: str, expected: float) -> float:
+    def remaining_ms(self, item: str, expected_ms: float) -> float:
         """How long a load of it is likely to take from now on."""
-        for r in self.coming.get(item, ()) or self.coming.get(item.partition("/")[0], ()):
-            for s in self.reps[r].steps():
-                if s.taken and s.sent is not None:
-                    return expected - (self.now - s.sent)
-            return expected
-        n = max(1, sum(1 for p in self.reps.values() if p.engine))
-        return expected * (1 + len(self.wants) / n)
-
-    def possible(self, item: str) -> bool:
-        """Whether some replica could hold it."""
-        if not self.cat.knows(item):
+        model = item.partition("/")[0]
+        for replica_id in self.loading_on.get(item, ()) or self.loading_on.get(model, ()):
+            for step in self.replicas[replica_id].steps():
+                if step.accepted and step.first_sent_at is not None:
+                    return expected_ms - (self.now - step.first_sent_at)
+            return expected_ms
+        engines = max(1, sum(1 for replica in self.replicas.values() if replica.has_engine))
+        return expected_ms * (1 + len(self.waiting) / engines)
+
+    def can_be_held(self, item: str) -> bool:
+        """Whether some replica could hold it; true as long as no list was read."""
+        if not self.catalog.knows(item):
             return False
-        if not self.known:
+        if not self.list_known:
             return True
-        model, _, adapter = item.partition("/")
-        for s in self.cat.homes[model]:
-            m = s.models[model]
-            if m.mb + (m.adapter_mb if adapter else 0) > s.room or adapter and s.places < 1:
+        name, _, adapter = item.partition("/")
+        for service in self.catalog.services_of[name]:
+            model = service.models[name]
+            needed_mb = model.weights_mb + (model.adapter_mb if adapter else 0)
+            if needed_mb > service.memory_mb or adapter and service.adapter_slots < 1:
                 continue
-            if any(p.service == s.name and self.may_serve(p) for p in self.reps.values()):
+            if any(r.service == service.name and self.may_serve(r) for r in self.replicas.values()):
                 return True
         return False
 
-    def may_serve(self, p: replica.Replica) -> bool:
+    def may_serve(self, replica: replica_state.Replica) -> bool:
         """Whether a replica is ready, stays, and is in no evacuated zone."""
-        return p.state == "ready" and p.leaves is None and p.zone not in self.drains
+        stays = replica.state == replica_rows.READY and replica.leaves_in_ms is None
+        return stays and replica.zone not in self.evacuated_zones
