--- a/basaltport/simulation/routes/nodes.py
+++ b/basaltport/simulation/routes/nodes.py
@@ -242,13 +242,16 @@
         return sorted(record["name"] for record in quorum.voters(self.nodes[leader].member.book).values())
 
     def settled(self, *names: str) -> bool:
-        """Whether there is a leader whose agreed members are of these names, all of which run here."""
+        """Whether there is a leader whose agreed members are of these names, all of which run here, and no former
+        members decide beside them."""
         leader = self.leader()
         if leader is None:
             return False
+        state = self.nodes[leader].member.book
+        if "former" in state:
+            return False
         member_ids = {node.seat for node in self.nodes.values()}
-        agreed = self.nodes[leader].member.book["roster"]
-        return self.roster() == sorted(names) and agreed.keys() <= member_ids
+        return self.roster() == sorted(names) and state["roster"].keys() <= member_ids
 
     # links
 
