--- a/basaltport/simulation/routes/nodes.py
+++ b/basaltport/simulation/routes/nodes.py
@@ -242,8 +242,8 @@
         return sorted(record["name"] for record in quorum.voters(self.nodes[leader].member.book).values())
 
     def settled(self, *names: str) -> bool:
-        """Whether there is a leader whose agreed members are of these names, all of which run here, and no former
-        members decide beside them."""
+        """Whether there is a leader whose agreed members are of these names, all of which run here, and no
+        former members decide beside them."""
         leader = self.leader()
         if leader is None:
             return False
