--- a/basaltport/simulation/links.py
+++ b/basaltport/simulation/links.py
@@ -22,9 +22,9 @@
         self.held: list[HeldDelivery] = []
         self.last_arrival: dict[tuple[typing.Any, ...], float] = {}
 
-    def cut(self, sender: str, receiver: str, both: bool = True) -> None:
+    def cut(self, source: str, target: str, both: bool = True) -> None:
         """Nothing passes in this direction any more; with `both`, nor in the other one."""
-        self.cuts |= {(sender, receiver), (receiver, sender)} if both else {(sender, receiver)}
+        self.cuts |= {(source, target), (target, source)} if both else {(source, target)}
 
     def in_order(self, link: tuple[typing.Any, ...], arrival: float) -> float:
         """When a message arrives that would arrive then, behind all that were sent before it on this link."""
--- a/basaltport/simulation/routes/control_checks.py
+++ b/basaltport/simulation/routes/control_checks.py
@@ -103,14 +103,14 @@
 
 
 def controller_back(rows: trace.Trace, facts: run_facts.RunFacts) -> list[Finding]:
-    """In one life of a controller no older configuration comes into force."""
+    """In one incarnation of a controller no older configuration comes into force."""
     findings, newest = [], dict[tuple[str, int], int]()
     for row in trace.of_kind(rows, process_rows.Kept):
-        life = row.node, row.life
-        if row.edition < newest.get(life, 0):
-            text = f"{row.node} went from {newest[life]} to {row.edition}"
+        incarnation = row.node, row.incarnation
+        if row.edition < newest.get(incarnation, 0):
+            text = f"{row.node} went from {newest[incarnation]} to {row.edition}"
             findings.append(Finding("keeper-back", row.at_ms, text))
-        newest[life] = row.edition
+        newest[incarnation] = row.edition
     return findings
 
 
--- a/basaltport/simulation/routes/control_losses.py
+++ b/basaltport/simulation/routes/control_losses.py
@@ -186,6 +186,7 @@
     """It is restarted."""
 
     def restart(name: str) -> str:
+        """With all that it had."""
         play.world.boot(name)
         return name
 
@@ -197,6 +198,7 @@
     """It is restarted with an empty disk."""
 
     def wipe(name: str) -> str:
+        """With an empty disk."""
         play.world.kill(name, disk=True)
         play.world.boot(name)
         return name
@@ -209,6 +211,7 @@
     """With odd seeds under the former name."""
 
     def replace(name: str) -> str:
+        """By another machine."""
         new = name if play.seed % 2 else play.world.new_name()
         play.world.remove_controller(name)
         play.world.add_controller(new)
--- a/basaltport/simulation/routes/operator.py
+++ b/basaltport/simulation/routes/operator.py
@@ -53,7 +53,7 @@
         self.answers[call] = None
         node = self.nodes[name]
         event = events.Asked(self.now, call, verb, body)
-        self.later(self.rng.randrange(1, LINK_MS), self.give, node, node.life, event)
+        self.later(self.rng.randrange(1, LINK_MS), self.give, node, node.incarnation, event)
         return call
 
     def order_change(
@@ -76,11 +76,11 @@
             self.record(operator_rows.Unclear, change.id)
             return
         longer = min(RETRY_MAX_MS, pause * 2)
-        up = [node.name for node in self.core_nodes() if node.member]
-        if not up:
+        running = [node.name for node in self.core_nodes() if node.member]
+        if not running:
             self.later(pause, self.send_change, change, longer)
             return
-        others = [name for name in up if name != change.requested_at]
+        others = [name for name in running if name != change.requested_at]
         change.requested_at = self.rng.choice(others or [change.requested_at])
         call = self.ask(change.requested_at, change.verb, change=change.id, **change.body)
         self.change_of[call] = change
@@ -147,8 +147,8 @@
         """The configuration as a controller reads it back, or None."""
         end = self.now + ms
         while self.now < end:
-            up = [node.name for node in self.core_nodes() if node.member and not node.frozen]
-            answer = self.request_and_wait(self.rng.choice(up), "configuration") if up else None
+            running = [node.name for node in self.core_nodes() if node.member and not node.frozen]
+            answer = self.request_and_wait(self.rng.choice(running), "configuration") if running else None
             if answer and answer[0] == ACKNOWLEDGED:
                 document: dict[str, typing.Any] | None = answer[1]["document"]
                 return document
--- a/basaltport/simulation/routes/operator_checks.py
+++ b/basaltport/simulation/routes/operator_checks.py
@@ -25,7 +25,8 @@
 
 
 def in_force(rows: trace.Trace, facts: run_facts.RunFacts) -> list[Finding]:
-    """A configuration is in force at every proxy in touch within `apply_ms`; never back within a life."""
+    """A configuration is in force at every proxy in touch within `apply_ms`; never back within an
+    incarnation."""
     findings = gone_back(rows)
     sent = changes(rows)
     due = [
@@ -40,14 +41,14 @@
 
 
 def gone_back(rows: trace.Trace) -> list[Finding]:
-    """Proxies that took up an older configuration than they had in the same life."""
+    """Proxies that took up an older configuration than they had in the same incarnation."""
     findings, newest = [], dict[tuple[str, int], int]()
     for row in trace.of_kind(rows, process_rows.Edition):
-        life = row.node, row.life
-        if row.edition < newest.get(life, 0):
-            text = f"{row.node} went from {newest[life]} to {row.edition}"
+        incarnation = row.node, row.incarnation
+        if row.edition < newest.get(incarnation, 0):
+            text = f"{row.node} went from {newest[incarnation]} to {row.edition}"
             findings.append(Finding("back", row.at_ms, text))
-        newest[life] = row.edition
+        newest[incarnation] = row.edition
     return findings
 
 
@@ -134,7 +135,7 @@
 def answered(rows: trace.Trace, facts: run_facts.RunFacts) -> list[Finding]:
     """A proper change is answered in time where most controllers are in touch and no answer is lost all
     along; all are in the end."""
-    settled = timeline.of(rows, process_rows.Settled)
+    settled = timeline.of(rows, process_rows.CoreInTouch)
     losing = timeline.of(rows, operator_rows.RepliesLost)
     spans: dict[str, tuple[int, int]] = {}
     for row in rows:
--- a/basaltport/simulation/routes/plays.py
+++ b/basaltport/simulation/routes/plays.py
@@ -21,6 +21,7 @@
     """A decorator that puts a scenario there under its name."""
 
     def register(scenario: Scenario) -> Scenario:
+        """Adds it, and leaves it as it is."""
         scenarios[scenario.__name__.replace("_", "-")] = scenario
         return scenario
 
--- a/basaltport/simulation/routes/process_rows.py
+++ b/basaltport/simulation/routes/process_rows.py
@@ -7,11 +7,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Boot(trace.Row):
-    """A process started; `life` tells its processes apart."""
+    """A process started; `incarnation` tells its processes apart."""
 
     KIND = "boot"
     node: str
-    life: int
+    incarnation: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -84,7 +84,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Settled(trace.Row):
+class CoreInTouch(trace.Row):
     """Most controllers reach each other and have done so for a while, or no longer."""
 
     KIND = "settled"
@@ -125,7 +125,7 @@
 
     KIND = "edition"
     node: str
-    life: int
+    incarnation: int
     edition: int
     change: str
 
@@ -136,7 +136,7 @@
 
     KIND = "kept"
     node: str
-    life: int
+    incarnation: int
     edition: int
     change: str
 
--- a/basaltport/simulation/routes/replica_checks.py
+++ b/basaltport/simulation/routes/replica_checks.py
@@ -25,7 +25,7 @@
 
     The time starts when the list shows it, or when most controllers are in touch after that; where the list
     can't be read meanwhile it is not judged."""
-    settled = timeline.of(rows, process_rows.Settled)
+    settled = timeline.of(rows, process_rows.CoreInTouch)
     starts: dict[str, float | None] = {}
     findings = []
     for row in rows:
@@ -63,7 +63,7 @@
 
 def loads_from_store(rows: trace.Trace, facts: run_facts.RunFacts) -> list[Finding]:
     """Loads from the store that begin while most controllers are in touch keep to its rate limit."""
-    settled, timings = timeline.of(rows, process_rows.Settled), facts.timings
+    settled, timings = timeline.of(rows, process_rows.CoreInTouch), facts.timings
     span = MS_PER_S * timings.ceiling_window_s
     most = facts.loads_per_s * timings.ceiling_window_s * timings.ceiling_excess + LOADS_SLACK
     times = [row.at_ms for row in trace.of_kind(rows, replica_rows.Load) if settled.is_on(row.at_ms)]
--- a/basaltport/simulation/routes/request_checks.py
+++ b/basaltport/simulation/routes/request_checks.py
@@ -28,11 +28,11 @@
     for row in trace.of_kind(rows, request_rows.Ran):
         if row.kind not in ONCE_ONLY:
             continue
-        again = next((key for key in (row.try_id, row.op) if key in seen), None)
+        again = next((key for key in (row.try_id, row.operation) if key in seen), None)
         if again is not None:
             text = f"{again} ran at {seen[again]} and again at {row.replica}"
             findings.append(Finding("once-only", row.at_ms, text))
-        seen[row.try_id] = seen[row.op] = row.replica
+        seen[row.try_id] = seen[row.operation] = row.replica
     return findings
 
 
@@ -55,12 +55,13 @@
     """The same for one service."""
     timings = facts.timings
     span = MS_PER_S * timings.retry_window_s
-    services = {row.op: row.service for row in trace.of_kind(rows, request_rows.Operation)}
-    tries = [row.at_ms for row in trace.of_kind(rows, request_rows.Try) if services[row.op] == service]
+    services = {row.operation: row.service for row in trace.of_kind(rows, request_rows.Operation)}
+    tries = [row.at_ms for row in trace.of_kind(rows, request_rows.Try) if services[row.operation] == service]
     more = further_arrivals(rows, service)
     times = [row.at_ms for row in more]
 
     def tries_between(start: int, end: int) -> int:
+        """Requests that clients sent in this span."""
         return bisect.bisect_left(tries, end) - bisect.bisect_left(tries, start)
 
     findings = []
@@ -124,10 +125,10 @@
 
 def share_served(rows: trace.Trace, start_ms: int, end_ms: int) -> float:
     """Of the requests that clients sent in this span; 0 where there were none."""
-    ended = {row.op: row.outcome for row in trace.of_kind(rows, request_rows.OperationEnd)}
+    ended = {row.operation: row.outcome for row in trace.of_kind(rows, request_rows.OperationEnd)}
     operations = trace.of_kind(rows, request_rows.Operation)
-    sent = [row.op for row in operations if start_ms <= row.at_ms < end_ms]
-    return sum(ended.get(op) == "done" for op in sent) / len(sent) if sent else 0.0
+    sent = [row.operation for row in operations if start_ms <= row.at_ms < end_ms]
+    return sum(ended.get(operation) == "done" for operation in sent) / len(sent) if sent else 0.0
 
 
 def back(rows: trace.Trace, facts: run_facts.RunFacts) -> list[Finding]:
--- a/basaltport/simulation/routes/request_rows.py
+++ b/basaltport/simulation/routes/request_rows.py
@@ -10,7 +10,7 @@
     """A client wants something; `kind` says what may be repeated."""
 
     KIND = "op"
-    op: str
+    operation: str
     kind: str
     item: str
     service: str
@@ -21,7 +21,7 @@
     """A client sends a request of an operation to a proxy."""
 
     KIND = "try"
-    op: str
+    operation: str
     node: str
     try_id: str
 
@@ -32,7 +32,7 @@
     just before; `touch`: its proxy is in touch; `left`: ms until the client gives up."""
 
     KIND = "end"
-    op: str
+    operation: str
     try_id: str
     node: str
     outcome: str
@@ -48,7 +48,7 @@
     """What came of an operation, after `ms`."""
 
     KIND = "op-end"
-    op: str
+    operation: str
     outcome: str
     item: str
     kind: str
@@ -80,5 +80,5 @@
     KIND = "ran"
     replica: str
     try_id: str
-    op: str
+    operation: str
     kind: str
--- a/basaltport/simulation/routes/scenes.py
+++ b/basaltport/simulation/routes/scenes.py
@@ -253,8 +253,8 @@
     world = play.world
     rare = list(world.mb)[-12:]
     name = play.proxy()
-    for i in range(40):
-        if i in (10, 25):
+    for turn in range(40):
+        if turn in (10, 25):
             world.restart(name, after=600)
         for model in play.rng.sample(rare, 6):
             world.start_operation("safe", model, play.rng.choice(world.zones))
--- a/basaltport/simulation/routes/slow_links.py
+++ b/basaltport/simulation/routes/slow_links.py
@@ -24,7 +24,7 @@
     def slow_links_start(self) -> None:
         """No link has a limit."""
         self.link_mbps: dict[str, float] = {}
-        self.link_free_at: dict[Direction, float] = {}
+        self.link_idle_at: dict[Direction, float] = {}
 
     def do_send(self, node: nodes.Node, effect: events.Send) -> None:
         """Sends a message; over a slow link it comes after what was sent before."""
@@ -41,6 +41,6 @@
         """Each way is taken until the bits are through; what this pair sends next comes after them."""
         for way in ways:
             took = bits / (self.link_mbps[way.name] * BITS_PER_MBPS_AND_MS)
-            free_at = max(self.link_free_at.get(way, 0.0), self.now) + took
-            self.link_free_at[way] = free_at
-            self.in_order(link, int(free_at))
+            idle_at = max(self.link_idle_at.get(way, 0.0), self.now) + took
+            self.link_idle_at[way] = idle_at
+            self.in_order(link, int(idle_at))
--- a/basaltport/simulation/routes/touch.py
+++ b/basaltport/simulation/routes/touch.py
@@ -47,7 +47,7 @@
         calm = bool(most) and self.now - self.core_upset > self.timings.in_touch_ms
         if calm != self.calm:
             self.calm = calm
-            self.record(process_rows.Settled, calm)
+            self.record(process_rows.CoreInTouch, calm)
         for node in self.proxies():
             self.look_at_proxy(node, most)
         self.note_touch()
@@ -56,12 +56,13 @@
 
     def core_in_reach(self) -> list[str]:
         """Controllers that run and reach most of all controllers."""
-        up = [node.name for node in self.core_nodes() if node.member and not node.frozen]
+        running = [node.name for node in self.core_nodes() if node.member and not node.frozen]
 
         def reaches(name: str) -> int:
-            return sum(1 for other in up if name == other or self.joined(name, other))
+            """How many it reaches, itself included."""
+            return sum(1 for other in running if name == other or self.joined(name, other))
 
-        return [name for name in up if 2 * reaches(name) > len(self.core)]
+        return [name for name in running if 2 * reaches(name) > len(self.core)]
 
     def look_at_proxy(self, node: nodes.Node, most: list[str]) -> None:
         """Whether a proxy is in touch with all of these controllers."""
--- a/basaltport/simulation/trace.py
+++ b/basaltport/simulation/trace.py
@@ -15,10 +15,10 @@
 
 
 Trace = collections.abc.Sequence[Row]
-R = typing.TypeVar("R", bound=Row)
+RowKind = typing.TypeVar("RowKind", bound=Row)
 
 
-def of_kind(trace: Trace, kind: type[R]) -> list[R]:
+def of_kind(trace: Trace, kind: type[RowKind]) -> list[RowKind]:
     """The rows of one kind, in order."""
     return [row for row in trace if isinstance(row, kind)]
 
@@ -29,6 +29,8 @@
     "index": "i",
     "rows_seen": "n",
     "log_index": "serial",
+    "incarnation": "life",
+    "operation": "op",
 }
 
 
