--- a/basaltport/simulation/routes/clients.py
+++ b/basaltport/simulation/routes/clients.py
@@ -43,7 +43,7 @@
     `until`: when the client gives up; `tries`: how many were sent; `over`: what came of it; `pieces`: parts
     of a stream that need not be sent again."""
 
-    __slots__ = "id kind item zone born until service tries over pieces".split()
+    __slots__ = ("id", "kind", "item", "zone", "born", "until", "service", "tries", "over", "pieces")
 
     def __init__(
         self, operation_id: str, kind: str, item: str, zone: str, born: int, ms: int, service: str
@@ -57,7 +57,7 @@
 class Try:
     """One request to one proxy. `read`: the proxy has read it; `over`: how it ended."""
 
-    __slots__ = "id operation node life request attempts over pieces read".split()
+    __slots__ = ("id", "operation", "node", "incarnation", "request", "attempts", "over", "pieces", "read")
 
     def __init__(self, try_id: str, operation: Operation, node: nodes.Node) -> None:
         """It is about to be sent."""
