--- a/basaltport/controller/node.py
+++ b/basaltport/controller/node.py
@@ -1,80 +1,106 @@
-"""The controller: consensus, operators' requests, placement and the feed to proxies in one reducer."""
+"""The controller: consensus, operators' requests, orders to replicas, placement and the feed in one
+reducer."""
+
+import typing
 
 import basaltport.consensus.node as node
 import basaltport.consensus.voting_policy as voting_policy
-import basaltport.fleet.publish as publish
-import basaltport.controller.operator_requests as desk
+import basaltport.controller.operator_requests as operator_requests
+import basaltport.controller.order_execution as order_execution
 import basaltport.controller.placement_control as placement_control
-import basaltport.controller.shard_ownership as duties
+import basaltport.fleet.messages as messages
+import basaltport.fleet.publish as publish
+import basaltport.identifiers as identifiers
+import basaltport.member as member
 import basaltport.placement.machine as machine
 import basaltport.text as text
 
-SNAPSHOT_EVERY = 200
+SNAPSHOT_ENTRIES = 200
+"""A snapshot is written after so many entries,"""
 SNAPSHOT_BYTES = 4 << 20
-RETRY = 1000
-LEASE = 3000
+"""or after entries of so many bytes."""
+DISK_RETRY_MS = 1000
+REPLICA_LEASE_MS = 3000
 
 
 class Controller(
     placement_control.PlacementControlMixin,
-    duties.ShardOwnershipMixin,
-    desk.DeskMixin,
+    order_execution.OrderExecutionMixin,
+    operator_requests.OperatorRequestsMixin,
     publish.PublishMixin,
     node.ConsensusNode,
 ):
-    """`placement`: as `placement.machine.Placement`; `lease_ms`: how long a replica is left alone between the
-    orders of two executors; `began`: when the process began, after the end of its machine's last one."""
+    """A controller's reducer: `step` takes an event and gives effects."""
 
-    TICKS = ("tick_disk", "tick_hello", "tick_elect", "tick_lead", "tick_desk", "tick_duties", "tick_place")
+    TICKS = (
+        *("tick_disk", "tick_hello", "tick_elect", "tick_lead"),
+        *("tick_requests", "tick_shards", "tick_place"),
+    )
 
     def __init__(
-        self, me, seed, now, held=None, promised=node.NO_TERM, placement=None, lease_ms=LEASE, began=None
-    ):
+        self,
+        me: member.Me,
+        seed: int,
+        now: identifiers.Millis,
+        held: dict[str, typing.Any] | None = None,
+        promised: identifiers.Term = node.NO_TERM,
+        placement: placement_control.Placement | None = None,
+        lease_ms: int = REPLICA_LEASE_MS,
+        began: identifiers.Millis | None = None,
+    ) -> None:
+        """`held`, `promised`: what the disk had of the state and log, and the highest term on it;
+        `placement`: as `placement.machine.Placement`, which is made where none is given; `lease_ms`: for
+        how long a replica is left alone between the orders of two owners; `began`: when the process began,
+        after the end of its machine's last one."""
         node.ConsensusNode.__init__(self, me, seed, now, voting_policy.DISK_MEMBERS, held, promised, began)
         self.placement_start(machine.Placement(self.rng) if placement is None else placement)
         self.placement.may_order = self.may_order
-        self.lease_ms = lease_ms
-        self.desk_start()
-        self.listeners.leadership_ending.append(self.leave_reads_open)
+        self.replica_lease_ms = lease_ms
+        self.operator_requests_start()
         self.publish_start()
-        self.duties_start()
-        self.kept_at = self.book["serial"]
-        self.unkept = 0
-        self.retry_at = now
+        self.order_execution_start()
+        self.snapshot_index = self.book["serial"]
+        self.bytes_since_snapshot = 0
+        self.disk_retry_at = now
         self.listeners.state_applied.append(self.keep_snapshot)
-        self.listeners.entry_retained.append(self.count_unkept)
+        self.listeners.entry_retained.append(self.count_entry)
 
-    def step(self, ev):
-        super().step(ev)
-        self.see_slices()
+    def step(self, event: member.Event) -> list[object]:
+        """Take an event; the effects."""
+        super().step(event)
+        self.note_shards()
         self.update_placement()
         if self.leading and self.beat_at < 0:
             self.beat()
         self.publish()
         return self.out
 
-    # disk
+    # the disk
 
-    def tick_disk(self):
+    def tick_disk(self) -> None:
         """A disk that failed is tried again with a whole snapshot."""
-        if self.bad and not self.after and self.now - self.retry_at >= RETRY:
-            self.retry_at = self.now
+        if self.bad and not self.after and self.now - self.disk_retry_at >= DISK_RETRY_MS:
+            self.disk_retry_at = self.now
             self.write([], whole=self.copy())
 
-    def count_unkept(self, e):
-        self.unkept += text.size(e)
+    def count_entry(self, entry: typing.Any) -> None:
+        """Count what would be read again after a restart."""
+        self.bytes_since_snapshot += text.size(entry)
 
-    def keep_snapshot(self):
+    def keep_snapshot(self) -> None:
         """Now and then the log begins anew behind a snapshot."""
-        if self.book["serial"] - self.kept_at < SNAPSHOT_EVERY and self.unkept < SNAPSHOT_BYTES:
+        entries = self.book["serial"] - self.snapshot_index
+        if entries < SNAPSHOT_ENTRIES and self.bytes_since_snapshot < SNAPSHOT_BYTES:
             return
-        self.kept_at, self.unkept = self.book["serial"], 0
+        self.snapshot_index, self.bytes_since_snapshot = self.book["serial"], 0
         self.write([], whole=self.copy())
 
-    def hear_want(self, src, m):
+    # proxies
+
+    def hear_want(self, source: str, request: messages.Want) -> None:
         """A proxy tells how many requests wait for items; it is told how they stand."""
         if not self.holds():
             return
-        self.call_placement(self.placement.requests_waiting, m.zone, m.items)
-        found = {item: self.placement.model_status(self.now, item).document() for item in m.items}
-        self.tell_facts(m.address, found)
+        self.call_placement(self.placement.requests_waiting, request.zone, request.items)
+        found = {item: self.placement.model_status(self.now, item).document() for item in request.items}
+        self.tell_facts(request.address, found)
--- a/basaltport/controller/operator_requests.py
+++ b/basaltport/controller/operator_requests.py
@@ -1,192 +1,372 @@
-"""Operators' asks at any controller. What a leader left open is asked again of the next; every call ends."""
+"""Operators' requests at any controller: changes and reads of the configuration, evacuations of zones.
+
+A controller that does not lead forwards a request to the leader. What a leader leaves open is asked again
+of the next one; every request ends with an answer: 503 where nothing was changed, 504 where that is not
+known.
+"""
+
+import collections.abc
+import enum
+import typing
 
-import basaltport.operator_answers as operator_answers
 import basaltport.configuration.routes as routes
+import basaltport.events as events
+import basaltport.identifiers as identifiers
+import basaltport.log_events as log_events
+import basaltport.member as member
 import basaltport.messages as messages
+import basaltport.operator_answers as operator_answers
+
+UNLED_MS = 900
+"""A request that no leader was ever asked ends after this."""
+LIMIT_MS = 3800
+"""Every other request ends after this."""
+RETRY_MS = 200
+"""When a request is sent again after the leader could not take it."""
+SILENT_MS = 1000
+"""When a request is sent again to a leader that has not answered."""
+LEADER_FRESH_MS = 1500
+"""A leader that was not heard of for longer is not asked."""
+FINDINGS_LOGGED = 3
+AT_ONCE = -(10**9)
+OK = 200
+BAD_REQUEST = 400
+PRECONDITION_FAILED = 412
+UNAVAILABLE = 503
+TIMED_OUT = 504
+
+Document = dict[str, typing.Any]
+Operation = dict[str, typing.Any]
+
+
+class Verb(enum.StrEnum):
+    """What an operator may request."""
+
+    CONFIGURE = "configure"
+    RECONFIGURE = "reconfigure"
+    EVACUATE = "evacuate"
+    READMIT = "readmit"
+    CONFIGURATION = "configuration"
+
+
+VERBS = frozenset(Verb)
+READS = frozenset({Verb.CONFIGURATION})
 
-CHANGES = ("configure", "reconfigure", "evacuate", "readmit")
-READS = ("configuration",)
-UNLED = 900
-WAIT = 3800
-AGAIN = 200
-SILENT = 1000
-FRESH = 1500
 
+class Answer(typing.NamedTuple):
+    """The answer to a request."""
 
-class Call:
-    """An ask that waits for a leader's answer; `open`: times it was sent and may still be taken."""
+    status: int
+    body: Document
 
-    __slots__ = ("at", "verb", "body", "gen", "next", "open")
 
-    def __init__(self, at, verb, body, open=0):
-        self.at = at
+def no_leader() -> Answer:
+    """Nobody decided the request; nothing was changed."""
+    return Answer(UNAVAILABLE, {"error": "no-leader"})
+
+
+def undecided() -> Answer:
+    """Whether the request was taken is not known."""
+    return Answer(TIMED_OUT, {"error": "unknown"})
+
+
+class ForwardedRequest:
+    """A request that waits for a leader's answer."""
+
+    __slots__ = ("received_at", "verb", "body", "term", "retry_at", "may_be_taken")
+
+    def __init__(self, received_at: int, verb: str, body: Document, may_be_taken: int = 0) -> None:
+        """`may_be_taken`: how many times it was sent to a leader that may have taken it."""
+        self.received_at = received_at
         self.verb = verb
         self.body = body
-        self.gen = None
-        self.next = at
-        self.open = open
+        self.may_be_taken = may_be_taken
+        self.term: identifiers.Term | None = None
+        """The term of the leader that was asked last."""
+        self.retry_at = received_at
+
+
+class OperatorRequestsNeeds(typing.Protocol):
+    """What `OperatorRequestsMixin` needs of the controller it is part of; see `consensus`."""
+
+    me: member.Me
+    now: identifiers.Millis
+    book: typing.Any
+    tip_book: typing.Any
+    leading: bool
+    leader: typing.Any
+    heard_at: int
+    beat_at: int
+    n: int
+    """The number of the last heartbeat."""
+    listeners: typing.Any
+    waiting: list[Document]
+    """Changes that wait to be committed; see `consensus.read_index`."""
+    reads: list[Document]
+    """Answers that wait for a majority's confirmation; see `consensus.read_index`."""
+
+    def settled(self) -> bool:
+        """Whether this leader's first entry is agreed."""
+
+    def settle(self) -> None:
+        """Acknowledge what is committed."""
 
+    def append(self, operation: Operation) -> identifiers.LogIndex:
+        """Append an entry; its index."""
 
-class DeskMixin(operator_answers.OperatorAnswersMixin):
-    """Needs RosterMixin and VoterMixin."""
+    def note(self, number: int, **fields: object) -> None:
+        """Log an event."""
 
-    def on_asked(self, ev):
-        if ev.verb not in CHANGES and ev.verb not in READS:
-            self.respond(None, ev.call, 400, {"error": "unknown-verb"})
+
+if typing.TYPE_CHECKING:
+
+    class Needs(operator_answers.OperatorAnswersMixin, OperatorRequestsNeeds):
+        """The other parts of the controller."""
+else:
+    Needs = operator_answers.OperatorAnswersMixin
+
+
+class OperatorRequestsMixin(Needs):
+    """Takes requests, and, where this controller leads, decides them. In all methods `source` is the
+    address of the controller that forwarded a request, None for one that was taken here."""
+
+    calls: dict[str, ForwardedRequest]
+
+    def operator_requests_start(self) -> None:
+        """Begin with no request."""
+        self.desk_start()
+        self.listeners.leadership_ending.append(self.leave_reads_open)
+
+    # any controller
+
+    def on_asked(self, event: events.Asked) -> None:
+        """An operator's request was taken here."""
+        if event.verb not in VERBS:
+            self.respond(None, event.call, BAD_REQUEST, {"error": "unknown-verb"})
             return
         if self.leading and self.settled():
-            self.serve(None, ev.call, ev.verb, ev.body, ev.now)
+            self.serve(None, event.call, event.verb, event.body, event.now)
             return
-        self.calls[ev.call] = Call(self.now, ev.verb, ev.body)
-        self.go_on_with(ev.call, self.calls[ev.call])
+        self.calls[event.call] = ForwardedRequest(self.now, event.verb, event.body)
+        self.forward(event.call, self.calls[event.call])
 
-    def go_on_with(self, c, x):
+    def forward(self, call: str, request: ForwardedRequest) -> None:
+        """Send a request to the leader if it is time, or serve it if that is this controller by now."""
         if self.leading:
             if self.settled():
-                del self.calls[c]
-                self.serve(None, c, x.verb, x.body, x.at)
+                del self.calls[call]
+                self.serve(None, call, request.verb, request.body, request.received_at)
             return
-        if self.leader is None or self.now - self.heard_at > FRESH:
+        if self.leader is None or self.now - self.heard_at > LEADER_FRESH_MS:
             return
-        if self.now < x.next and x.gen == self.leader.gen:
+        if self.now < request.retry_at and request.term == self.leader.gen:
             return
-        x.gen, x.next = self.leader.gen, self.now + SILENT
-        x.open += 1
-        self.send(self.leader.addr, messages.Forward(c, self.me.addr, x.verb, x.body))
-
-    def tick_desk(self):
-        for c, x in list(self.calls.items()):
-            age = self.now - x.at
-            if age < (WAIT if x.open or x.gen else UNLED):
-                self.go_on_with(c, x)
+        request.term, request.retry_at = self.leader.gen, self.now + SILENT_MS
+        request.may_be_taken += 1
+        self.send(self.leader.addr, messages.Forward(call, self.me.addr, request.verb, request.body))
+
+    def tick_requests(self) -> None:
+        """Send requests again that are due, and end those whose time is over."""
+        for call, request in list(self.calls.items()):
+            limit_ms = LIMIT_MS if request.may_be_taken or request.term else UNLED_MS
+            if self.now - request.received_at < limit_ms:
+                self.forward(call, request)
                 continue
-            del self.calls[c]
-            self.undecided(None, c, x.verb, x.open)
-        self.waiting = [w for w in self.waiting if not self.overdue(w, w["at"], 1)]
-        self.reads = [r for r in self.reads if not self.overdue(r, r["asked"], 0)]
-
-    def overdue(self, w, at, open):
-        """Whether its time is over; then it is answered as undecided."""
-        if self.now - at < WAIT:
+            del self.calls[call]
+            self.end_undecided(None, call, request.verb, request.may_be_taken)
+        self.waiting = [row for row in self.waiting if not self.end_overdue(row, row["at"], 1)]
+        self.reads = [row for row in self.reads if not self.end_overdue(row, row["asked"], 0)]
+
+    def end_overdue(self, row: Document, received_at: int, may_be_taken: int) -> bool:
+        """Whether the time of a request is over; then it is answered as undecided."""
+        if self.now - received_at < LIMIT_MS:
             return False
-        self.undecided(w["src"], w["call"], w["verb"], open)
+        self.end_undecided(row["src"], row["call"], row["verb"], may_be_taken)
         return True
 
-    def undecided(self, src, call, verb, open):
-        if verb in READS or not open:
-            self.respond(src, call, 503, {"error": "no-leader"})
-            return
-        self.respond(src, call, 504, {"error": "unknown"})
+    def end_undecided(self, source: str | None, call: str, verb: str, may_be_taken: int) -> None:
+        """Answer a request that no leader decided."""
+        nothing_changed = verb in READS or not may_be_taken
+        self.respond(source, call, *(no_leader() if nothing_changed else undecided()))
 
-    def hear_reply(self, src, m):
-        """A leader that did not take it says 503; one that can't tell, 504: the next one is asked."""
-        c = self.calls.get(m.call)
-        if c is None:
+    def hear_reply(self, source: str, reply: messages.Reply) -> None:
+        """The leader's answer. One that did not take the request says 503, one that can't tell 504: the
+        next leader is asked."""
+        request = self.calls.get(reply.call)
+        if request is None:
             return
-        if m.status in (503, 504):
-            c.open -= m.status == 503
-            c.gen, c.next = None, self.now + AGAIN
+        if reply.status in (UNAVAILABLE, TIMED_OUT):
+            request.may_be_taken -= reply.status == UNAVAILABLE
+            request.term, request.retry_at = None, self.now + RETRY_MS
             return
-        del self.calls[m.call]
-        self.respond(None, m.call, m.status, m.body)
+        del self.calls[reply.call]
+        self.respond(None, reply.call, reply.status, reply.body)
 
-    def hear_forward(self, src, m):
-        self.serve(m.addr, m.call, m.verb, m.body, self.now)
+    def hear_forward(self, source: str, request: messages.Forward) -> None:
+        """Another controller forwards a request."""
+        self.serve(request.addr, request.call, request.verb, request.body, self.now)
 
-    # the leader's side
+    # the leader
 
-    def serve(self, src, call, verb, body, at):
+    def serve(self, source: str | None, call: str, verb: str, body: Document, received_at: int) -> None:
+        """Decide a request."""
         if not self.leading or not self.settled():
-            self.respond(src, call, 503, {"error": "no-leader"})
+            self.respond(source, call, *no_leader())
             return
         if verb in READS:
-            self.confirm(src, call, verb, body, at)
+            self.confirm(source, call, verb, body, received_at)
             return
-        t = self.tip_book
         change = body.get("change")
-        if change in t["changes"]:
-            self.wait(src, call, verb, body, at, t["changes"][change])
+        if change in self.tip_book["changes"]:
+            index = self.tip_book["changes"][change]
+            self.wait_for_commit(source, call, verb, body, received_at, index)
             return
-        got = getattr(self, "want_" + verb)(t, body)
-        if isinstance(got, tuple):
-            if got[0] != 200:
-                self.note(40, change=change, status=got[0], findings=got[1].get("findings", [])[:3])
-            self.confirm(src, call, verb, body, at, got)
+        decided = self.change_operations()[Verb(verb)](self.tip_book, body)
+        if isinstance(decided, tuple):
+            if decided[0] != OK:
+                self.note_refused(change, decided)
+            self.confirm(source, call, verb, body, received_at, decided)
             return
         if change:
-            got["change"] = change
-        self.wait(src, call, verb, body, at, self.append(got))
-
-    def wait(self, src, call, verb, body, at, serial):
-        w = {"src": src, "call": call, "verb": verb, "body": body, "at": at, "serial": serial}
-        w["committed"] = self.now if serial <= self.book["serial"] else None
-        self.waiting.append(w)
-        self.waiting.sort(key=lambda x: x["serial"])
+            decided["change"] = change
+        self.wait_for_commit(source, call, verb, body, received_at, self.append(decided))
+
+    def note_refused(self, change: object, answer: tuple[int, Document]) -> None:
+        """Log that a change was refused."""
+        findings = answer[1].get("findings", [])[:FINDINGS_LOGGED]
+        event = log_events.Event.CHANGE_REFUSED
+        self.note(event, change=change, status=answer[0], findings=findings)
+
+    def wait_for_commit(
+        self, source: str | None, call: str, verb: str, body: Document, received_at: int, index: int
+    ) -> None:
+        """Answer a change once the entry of an index is agreed."""
+        row = {"src": source, "call": call, "verb": verb, "body": body, "at": received_at, "serial": index}
+        row["committed"] = self.now if index <= self.book["serial"] else None
+        self.waiting.append(row)
+        self.waiting.sort(key=lambda waiting: typing.cast(int, waiting["serial"]))
         self.settle()
 
-    def confirm(self, src, call, verb, body, at, got=None):
-        """Answered once a majority answers a heartbeat sent after this, and what it rests on is agreed."""
-        r = {"n": self.n, "src": src, "call": call, "verb": verb, "body": body, "asked": at}
-        self.reads.append({**r, "got": got, "serial": self.tip_book["serial"] if got else 0})
-        self.beat_at = -(10**9)
-
-    def serve_read(self, r):
-        if r["serial"] > self.book["serial"]:
-            self.reads.append(r)
+    def confirm(
+        self,
+        source: str | None,
+        call: str,
+        verb: str,
+        body: Document,
+        received_at: int,
+        answer: tuple[int, Document] | None = None,
+    ) -> None:
+        """Answer once a majority answers a heartbeat sent after this, and what the answer rests on is
+        agreed. A read has no answer yet: it is made of the state that is agreed then."""
+        row = {"n": self.n, "src": source, "call": call, "verb": verb, "body": body, "asked": received_at}
+        self.reads.append({**row, "got": answer, "serial": self.tip_book["serial"] if answer else 0})
+        self.beat_at = AT_ONCE
+
+    def serve_read(self, row: Document) -> None:
+        """A majority confirmed that this controller leads: give the answer, if what it rests on is agreed."""
+        if row["serial"] > self.book["serial"]:
+            self.reads.append(row)
             return
-        got = r["got"] or getattr(self, "read_" + r["verb"])(self.book)
-        self.respond(r["src"], r["call"], *got)
-
-    def read_configuration(self, b):
-        return 200, {"document": b["manifest"], "serial": int(b["mserial"])}
-
-    def acknowledge(self, w):
-        self.note(41, serial=int(w["serial"]), change=w["body"].get("change"))
-        self.respond(w["src"], w["call"], 200, {"serial": int(w["serial"])})
-
-    def unknown(self, w):
-        self.left_open(w, w["at"], 1)
-
-    def left_open(self, w, at, open):
-        if w["src"] is None:
-            self.calls[w["call"]] = Call(at, w["verb"], w["body"], open)
+        answer = row["got"] or self.read_configuration(self.book)
+        self.respond(row["src"], row["call"], *answer)
+
+    def read_configuration(self, state: typing.Any) -> Answer:
+        """The configuration in force."""
+        document = {"document": state["manifest"], "serial": int(state["mserial"])}
+        return Answer(OK, document)
+
+    def acknowledge(self, row: Document) -> None:
+        """A change is agreed."""
+        index = int(row["serial"])
+        event = log_events.Event.CHANGE_ACKNOWLEDGED
+        self.note(event, serial=index, change=row["body"].get("change"))
+        self.respond(row["src"], row["call"], OK, {"serial": index})
+
+    def unknown(self, row: Document) -> None:
+        """This leader steps down before a change is agreed."""
+        self.leave_open(row, row["at"], 1)
+
+    def leave_open(self, row: Document, received_at: int, may_be_taken: int) -> None:
+        """A request is left to the next leader: what was taken here is forwarded to it, all else is
+        answered as undecided to whom it came from."""
+        if row["src"] is None:
+            request = ForwardedRequest(received_at, row["verb"], row["body"], may_be_taken)
+            self.calls[row["call"]] = request
             return
-        self.undecided(w["src"], w["call"], w["verb"], open)
+        self.end_undecided(row["src"], row["call"], row["verb"], may_be_taken)
 
-    def leave_reads_open(self):
+    def leave_reads_open(self) -> None:
         """Before this leader steps down: the next one answers its reads."""
         reads, self.reads = self.reads, []
-        for r in reads:
-            self.left_open(r, r["asked"], 0)
-
-    # changes
-
-    def edition(self, t):
-        return (t["manifest"] or {}).get("edition", 0)
-
-    def judged(self, t, body, findings, doc, op):
-        if body.get("base") != self.edition(t):
-            return 412, {"error": "edition", "edition": self.edition(t)}
-        findings = findings or routes.check(doc(), t["manifest"])
-        return (400, {"error": "invalid", "findings": findings}) if findings else op
-
-    def want_configure(self, t, body):
-        doc = body.get("document")
-        return self.judged(t, body, [], lambda: doc, {"op": "manifest", "manifest": doc})
-
-    def want_reconfigure(self, t, body):
-        p = body.get("patch")
-        fs = routes.check_patch(p)
-        return self.judged(t, body, fs, lambda: routes.patch(t["manifest"], p), {"op": "alter", "patch": p})
-
-    def zone_op(self, t, body, op, already):
-        z = body.get("zone")
-        if not isinstance(z, str) or not z:
-            return 400, {"error": "invalid", "findings": [{"place": "zone", "finding": "not a name"}]}
-        return (200, {"serial": int(t["serial"])}) if already(z) else {"op": op, "zone": z}
-
-    def want_evacuate(self, t, body):
-        return self.zone_op(t, body, "drain", lambda z: z in t["drains"])
-
-    def want_readmit(self, t, body):
-        return self.zone_op(t, body, "undrain", lambda z: z not in t["drains"])
+        for row in reads:
+            self.leave_open(row, row["asked"], 0)
+
+    # changes: each gives the operation to append, or the answer where there is nothing to append
+
+    def change_operations(
+        self,
+    ) -> dict[Verb, collections.abc.Callable[[typing.Any, Document], Operation | tuple[int, Document]]]:
+        """What decides each change."""
+        return {
+            Verb.CONFIGURE: self.put_configuration,
+            Verb.RECONFIGURE: self.patch_configuration,
+            Verb.EVACUATE: self.evacuate_zone,
+            Verb.READMIT: self.readmit_zone,
+        }
+
+    def edition(self, state: typing.Any) -> int:
+        """The edition of a state's configuration, 0 where there is none."""
+        found: int = (state["manifest"] or {}).get("edition", 0)
+        return found
+
+    def judge_change(
+        self,
+        state: typing.Any,
+        body: Document,
+        findings: list[Document],
+        document: collections.abc.Callable[[], typing.Any],
+        operation: Operation,
+    ) -> Operation | tuple[int, Document]:
+        """The operation, if the change is based on the edition of `state` and its whole document is valid."""
+        if body.get("base") != self.edition(state):
+            error = {"error": "edition", "edition": self.edition(state)}
+            return Answer(PRECONDITION_FAILED, error)
+        findings = findings or routes.check(document(), state["manifest"])
+        if findings:
+            return Answer(BAD_REQUEST, {"error": "invalid", "findings": findings})
+        return operation
+
+    def put_configuration(self, state: typing.Any, body: Document) -> Operation | tuple[int, Document]:
+        """Replace the configuration."""
+        document = body.get("document")
+        operation = {"op": "manifest", "manifest": document}
+        return self.judge_change(state, body, [], lambda: document, operation)
+
+    def patch_configuration(self, state: typing.Any, body: Document) -> Operation | tuple[int, Document]:
+        """Change items of the configuration."""
+        patch = body.get("patch")
+        findings = routes.check_patch(patch)
+        operation = {"op": "alter", "patch": patch}
+        return self.judge_change(
+            state, body, findings, lambda: routes.patch(state["manifest"], patch), operation
+        )
+
+    def zone_operation(
+        self, state: typing.Any, body: Document, kind: str, evacuated: bool
+    ) -> Operation | tuple[int, Document]:
+        """The operation of a kind on a zone, after which the zone is evacuated or not."""
+        zone = body.get("zone")
+        if not isinstance(zone, str) or not zone:
+            findings = [{"place": "zone", "finding": "not a name"}]
+            return Answer(BAD_REQUEST, {"error": "invalid", "findings": findings})
+        if (zone in state["drains"]) is evacuated:
+            return Answer(OK, {"serial": int(state["serial"])})
+        return {"op": kind, "zone": zone}
+
+    def evacuate_zone(self, state: typing.Any, body: Document) -> Operation | tuple[int, Document]:
+        """Take a zone out of use."""
+        return self.zone_operation(state, body, "drain", True)
+
+    def readmit_zone(self, state: typing.Any, body: Document) -> Operation | tuple[int, Document]:
+        """Take a zone back into use."""
+        return self.zone_operation(state, body, "undrain", False)
--- /dev/null
+++ b/basaltport/controller/order_execution.py
@@ -0,0 +1,187 @@
+"""Orders to replicas: the leader routes each to the owner of the replica's shard, which carries it out."""
+
+import typing
+
+import basaltport.controller.events as events
+import basaltport.controller.messages as messages
+import basaltport.controller.shard_ownership as shard_ownership
+import basaltport.identifiers as identifiers
+import basaltport.placement.effects as effects
+import basaltport.placement.order_types as order_types
+
+EXECUTOR_SETTLED_MS = 600
+"""A new executor gets no orders before: what another leader had ordered through it has arrived by then."""
+ACK_FRESH_MS = 500
+"""An executor that has not acknowledged a heartbeat for longer gets no orders."""
+REQUEST_FRESH_MS = 700
+"""A request whose acknowledgement is older was held up on its way, and is not carried out."""
+RESULT_LIMIT_MS = 1700
+"""An order without a result by then counts as one without an answer."""
+NEVER = -(10**9)
+NO_TIME = identifiers.Millis(0)
+
+
+class Execution(typing.NamedTuple):
+    """An order that this controller carries out, for a leader."""
+
+    address: str
+    """The leader's."""
+    term: identifiers.Term
+    order: int
+    """Its number at the leader."""
+
+
+class OrderExecutionNeeds(typing.Protocol):
+    """What `OrderExecutionMixin` needs of the controller besides."""
+
+    promised: identifiers.Term
+    sent_at: dict[int, int]
+    """When this member sent its last acknowledgements, by number."""
+    placement: typing.Any
+
+    def emit(self, effect: object) -> None:
+        """Add an effect."""
+
+    def addr_of(self, member_id: str) -> str | None:
+        """Where a member was last heard of."""
+
+    def call_placement(self, call: typing.Any, *arguments: object) -> None:
+        """Call a method of Placement."""
+
+
+if typing.TYPE_CHECKING:
+
+    class Needs(shard_ownership.ShardOwnershipMixin, OrderExecutionNeeds):
+        """The other parts of the controller."""
+else:
+    Needs = shard_ownership.ShardOwnershipMixin
+
+
+class OrderExecutionMixin(Needs):
+    """`executing`: what this controller carries out, by its own numbers; `routed`: when the leader routed
+    each of its orders; `not_routed`: orders that nobody may carry out now."""
+
+    def order_execution_start(self) -> None:
+        """Begin with no orders."""
+        self.shard_ownership_start()
+        self.last_execution = 0
+        self.executing: dict[int, Execution] = {}
+        self.forget_orders()
+
+    def forget_orders(self) -> None:
+        """Wait for no results any more."""
+        self.routed: dict[int, int] = {}
+        self.not_routed: list[int] = []
+
+    # the owner of a shard
+
+    def hear_order_request(self, source: str, request: messages.OrderRequest) -> None:
+        """Carry out a leader's order, unless it is late or this controller may not order there."""
+        fresh = self.now - self.sent_at.get(request.echo, NEVER) <= REQUEST_FRESH_MS
+        if request.gen < self.promised or not fresh or not self.owns(request.replica, request.fence):
+            failed = order_types.OrderOutcome.FAILED
+            self.send(request.address, messages.OrderResult(request.gen, request.order, failed, NO_TIME))
+            return
+        order = effects.Order(
+            request.order,
+            request.replica,
+            request.at,
+            request.kind,
+            request.model,
+            request.adapter or None,
+            self.me.name,
+            request.fence,
+        )
+        self.carry_out(request.address, request.gen, order)
+
+    def carry_out(self, address: str, term: identifiers.Term, order: effects.Order) -> None:
+        """Send an order of a leader's to its replica, under a number of this controller's own."""
+        self.last_execution += 1
+        self.executing[self.last_execution] = Execution(address, term, order.order)
+        self.emit(order._replace(order=self.last_execution))
+
+    def on_ordered(self, event: events.Ordered) -> None:
+        """A replica answered an order, or did not: the leader that asked for it is told."""
+        execution = self.executing.pop(event.order, None)
+        if execution is None:
+            return
+        outcome = order_types.OrderOutcome(event.outcome)
+        result = messages.OrderResult(execution.term, execution.order, outcome, event.took)
+        if execution.address == self.me.addr:
+            self.hear_order_result("", result)
+            return
+        self.send(execution.address, result)
+
+    # the leader
+
+    def may_order(self, replica_id: str) -> bool:
+        """As far as the leader knows: the owner of the shard is leased, knows of it, has waited, and what
+        another leader had ordered through it has arrived."""
+        shard = shard_ownership.shard_of(replica_id)
+        row = self.shards().get(shard)
+        if not self.leading or row is None or row != self.tip_book["slices"].get(shard):
+            return False
+        if not self.former_owner_stopped(shard):
+            return False
+        owner = row["owner"]
+        since = self.executor_since.get(owner, self.now)
+        if owner not in self.tip_book["roster"] or self.now - since < EXECUTOR_SETTLED_MS:
+            return False
+        if owner == self.me.seat:
+            return self.holds() and not self.stopped
+        silent = self.now - self.acks.get(owner, NEVER) > ACK_FRESH_MS
+        if silent or owner in self.gone or not self.may_be_leased(owner):
+            return False
+        return owner in self.echoes and self.echoes[owner][2] >= row["fence"]
+
+    def route_order(self, order: effects.Order) -> None:
+        """Have an order of Placement's carried out by the owner of its shard."""
+        if not self.may_order(order.replica):
+            self.not_routed.append(order.order)
+            return
+        row = self.shards()[shard_ownership.shard_of(order.replica)]
+        owner, fence = row["owner"], identifiers.Fence(row["fence"])
+        self.routed[order.order] = self.now
+        if owner == self.me.seat:
+            own = order._replace(holder=self.me.name, fence=fence, expected=None)
+            self.carry_out(self.me.addr, self.promised, own)
+            return
+        request = messages.OrderRequest(
+            self.promised,
+            order.order,
+            self.echoes[owner][0],
+            self.me.addr,
+            order.replica,
+            order.address,
+            order.kind,
+            order.model,
+            order.adapter or "",
+            fence,
+        )
+        self.send(self.addr_of(owner) or self.tip_book["roster"][owner]["addr"], request)
+
+    def hear_order_result(self, source: str, result: messages.OrderResult) -> None:
+        """What came of an order. That its owner was fenced says nothing of who leads."""
+        if not self.leading or result.gen != self.promised or result.order not in self.routed:
+            return
+        del self.routed[result.order]
+        fenced = result.outcome == order_types.OrderOutcome.FENCED
+        outcome = order_types.OrderOutcome.FAILED if fenced else result.outcome
+        self.call_placement(self.placement.ordered, result.order, outcome, result.took)
+
+    def tick_shards(self) -> None:
+        """The leader ends orders without results, and gives shards."""
+        if not self.leading:
+            return
+        for order, routed_at in list(self.routed.items()):
+            if self.now - routed_at > RESULT_LIMIT_MS:
+                del self.routed[order]
+                took = identifiers.Millis(self.now - routed_at)
+                self.call_placement(self.placement.ordered, order, order_types.OrderOutcome.UNKNOWN, took)
+        orders, self.not_routed = self.not_routed, []
+        for order in orders:
+            self.call_placement(self.placement.ordered, order, order_types.OrderOutcome.FAILED, NO_TIME)
+        if self.leading and self.holds() and not self.stopped:
+            self.executor_since.setdefault(self.me.seat, self.now)
+            if not self.pending("slices"):
+                self.assign_shards()
--- a/basaltport/controller/server.py
+++ b/basaltport/controller/server.py
@@ -1,232 +1,266 @@
 """The process of a controller: its connections, its disk, and the platform's port for all else."""
 
 import asyncio
-import concurrent.futures
+import collections.abc
 import gc
 import os
-import queue
 import random
 import signal
-import threading
+import typing
 
 import basaltport.consensus.journal as journal
 import basaltport.consensus.member_identity as member_identity
-import basaltport.events as base
-import basaltport.controller.events as events
-import basaltport.controller.node as role
+import basaltport.controller.disk_writer as disk_writer
+import basaltport.controller.events as controller_events
+import basaltport.controller.node as node
+import basaltport.events as events
 import basaltport.identifiers as identifiers
+import basaltport.log_events as log_events
 import basaltport.logs as logs
 import basaltport.member as member
+import basaltport.placement.effects as effects
+import basaltport.placement.order_types as order_types
 import basaltport.shell as shell
 import basaltport.started as started
 import basaltport.wires as wires
 
-TICK = 0.05
-DRAIN = 0.25
-LAST = 0.1
-CLOSE = 0.3
+TICK_S = 0.05
+DRAIN_S = 0.25
+"""How long a process that stops waits for requests to be decided, before and after it hands over."""
+HAND_OVER_S = 0.1
+"""How long the messages of a leader that hands over take to go out."""
+PORT_STOP_S = 0.3
+STOPPING = (503, {"error": "stopping"})
+UNKNOWN = (504, {"error": "unknown"})
 
+Document = dict[str, typing.Any]
+Settings = dict[str, typing.Any]
+Answer = tuple[int, Document]
+Result = typing.TypeVar("Result")
 
-class Writer(concurrent.futures.Executor):
-    """One thread, which a stalled disk may hold up for long and which then holds up no end of the process."""
 
-    def __init__(self):
-        self.todo = queue.SimpleQueue()
-        threading.Thread(target=self.work, daemon=True).start()
+class Port(typing.Protocol):
+    """The platform's part: lists replicas, sends orders to them, and serves operators. It may have `reload()`
+    besides, called on SIGHUP."""
 
-    def submit(self, fn, /, *args, **kwargs):
-        f = concurrent.futures.Future()
-        self.todo.put((f, fn, args, kwargs))
-        return f
+    async def start(self, server: typing.Any) -> None:
+        """Serve operators on behalf of a controller."""
 
-    def work(self):
-        while True:
-            got = self.todo.get()
-            if got is None:
-                return
-            f, fn, args, kwargs = got
-            try:
-                f.set_result(fn(*args, **kwargs))
-            except Exception as e:
-                f.set_exception(e)
+    async def stop(self) -> None:
+        """Serve nobody any more."""
 
-    def shutdown(self, wait=False, *, cancel_futures=False):
-        self.todo.put(None)
+    async def list(self) -> "list[Document] | None":
+        """The rows of all replicas, None where they could not be read."""
+
+    async def order(self, order: effects.Order) -> str:
+        """Send an order; the value of a `placement.order_types.OrderOutcome`."""
+
+    async def report(self, request: effects.Report) -> Document | None:
+        """What a replica says it holds, None where it does not answer."""
 
 
 class ControllerServer(shell.Shell):
-    """`settings`: as in docs/platform.md. `port`, the platform's: async `start(shell)`, `stop()`, `list()` ->
-    rows or None, `order(effect)` -> outcome, `report(effect)` -> dict or None; if it has one, `reload()`."""
+    """A controller as a process. `settings`: as in docs/platform.md. Raises OSError where the data folder
+    can't be used."""
 
-    def __init__(self, settings, port):
+    def __init__(self, settings: Settings, port: Port) -> None:
+        """Read the data folder; `run` does all else."""
         super().__init__()
         self.settings = settings
         self.port = port
-        self.period = TICK
+        self.period = TICK_S
         self.stopping = False
-        self.n = 0
-        self.listed_at = None
-        self.calls = {}
-        self.tasks = set()
+        self.last_call = 0
+        self.listed_at: identifiers.Millis | None = None
+        """When the platform's list of replicas was last read."""
+        self.calls: dict[str, asyncio.Future[Answer]] = {}
+        self.tasks: set[asyncio.Task[None]] = set()
         self.open()
         self.wires = wires.Wires(settings["address"], self.heard, self.refused)
 
-    def open(self):
-        """Raises OSError where the data folder cannot be used."""
-        s = self.settings
-        seat = f"{s['name']}-{os.urandom(4).hex()}"
-        self.disk = journal.Disk(s["data"], s["name"])
-        fresh = member_identity.Identity(seat, tuple(s["seeds"]) if s.get("first_start") else None)
-        got = self.disk.open(fresh)
-        if got.is_err():
-            logs.note(21, {"folder": s["data"], "why": got.err_value})
-            raise OSError(f"data folder: {got.err_value}")
-        recovered = got.ok_value
-        founders = recovered.identity.founders
-        if recovered.new_seat:
-            logs.note(22, {"folder": s["data"], "seat": recovered.identity.seat})
+    def open(self) -> None:
+        """Read the data folder, and make the reducer of what it holds."""
+        settings = self.settings
+        recovered = self.read_disk()
         self.me = member.Me(
-            s["house"],
-            s["name"],
+            settings["house"],
+            settings["name"],
             recovered.identity.seat,
             "ledger",
-            s["zone"],
-            s["address"],
-            s.get("operators", ""),
-            s["seeds"],
+            settings["zone"],
+            settings["address"],
+            settings.get("operators", ""),
+            settings["seeds"],
             0,
             voters="ledgers",
-            first_start=founders is not None,
-            founders=list(founders or ()),
+            first_start=recovered.identity.founders is not None,
+            founders=list(recovered.identity.founders or ()),
         )
-        lease = s.get("timings", {}).get("lease_ms", role.LEASE)
-        seed = random.SystemRandom().getrandbits(64)
-        self.member = role.Controller(
+        self.member = node.Controller(
             self.me,
-            seed,
+            random.SystemRandom().getrandbits(64),
             identifiers.steady(),
             recovered.held,
             recovered.promised,
-            lease_ms=lease,
+            lease_ms=settings.get("timings", {}).get("lease_ms", node.REPLICA_LEASE_MS),
             began=identifiers.Millis(started.AT_MS),
         )
-        g, n = self.member.head()
-        logs.note(20, {"serial": int(n), "generation": g.text(), "seat": self.me.seat})
+        term, index = self.member.head()
+        fields = {"serial": int(index), "generation": term.text(), "seat": self.me.seat}
+        logs.note(log_events.Event.DISK_OPENED, fields)
 
-    def reseed(self, seeds):
+    def read_disk(self) -> typing.Any:
+        """What the data folder holds; a new folder gets a new identity."""
+        settings = self.settings
+        folder = settings["data"]
+        founders = tuple(settings["seeds"]) if settings.get("first_start") else None
+        member_id = identifiers.MemberId(f"{settings['name']}-{os.urandom(4).hex()}")
+        self.disk = journal.Disk(folder, settings["name"])
+        opened = self.disk.open(member_identity.Identity(member_id, founders))
+        if opened.is_err():
+            logs.note(log_events.Event.DISK_REFUSED, {"folder": folder, "why": opened.err_value})
+            raise OSError(f"data folder: {opened.err_value}")
+        recovered = opened.ok_value
+        if recovered.new_seat:
+            logs.note(log_events.Event.SEAT_UNKNOWN, {"folder": folder, "seat": recovered.identity.seat})
+        return recovered
+
+    def reseed(self, seeds: list[str]) -> None:
+        """Other addresses to find members at."""
         self.me.seeds = list(seeds)
 
-    def acts(self, e):
-        """Whether this controller alone may send this order, as of now."""
-        self.member.now = max(self.member.now, identifiers.steady())
-        return self.member.owns(e.replica, e.fence)
+    # the process
 
-    async def run(self):
+    async def run(self) -> None:
+        """Serve until a signal ends the process."""
         loop = asyncio.get_running_loop()
         logs.open_log("-")
-        self.end = asyncio.Event()
-        for s in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(s, self.end.set)
+        ended = asyncio.Event()
+        for number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(number, ended.set)
         loop.add_signal_handler(signal.SIGHUP, getattr(self.port, "reload", lambda: None))
         await self.start()
-        await self.end.wait()
+        await ended.wait()
         await self.finish()
 
-    async def start(self):
-        self.writer = Writer()
+    async def start(self) -> None:
+        """Open the connections and begin."""
+        self.writer = disk_writer.DiskWriter()
         await self.wires.start()
         self.ticker = asyncio.get_running_loop().create_task(self.tick())
         await self.port.start(self)
-        logs.note(1, self.me.row())
+        logs.note(log_events.Event.STARTED, self.me.row())
         gc.collect()
         gc.freeze()
 
-    async def finish(self):
-        """What was asked is decided, within bounds; a leader hands over."""
-        logs.note(2, {"name": self.me.name})
+    async def finish(self) -> None:
+        """Requests are decided, within bounds; a leader hands over."""
+        logs.note(log_events.Event.STOPPING, {"name": self.me.name})
         self.stopping = True
-        await self.decided(DRAIN)
-        self.step(base.Stop(identifiers.steady()))
-        await asyncio.sleep(LAST)
-        await self.released()
-        await self.decided(DRAIN)
+        await self.wait_for_answers(DRAIN_S)
+        self.step(events.Stop(identifiers.steady()))
+        await asyncio.sleep(HAND_OVER_S)
+        await self.wait_until_released()
+        await self.wait_for_answers(DRAIN_S)
         self.ticker.cancel()
-        for t in list(self.tasks):
-            t.cancel()
-        for f in self.calls.values():
-            if not f.done():
-                f.set_result((504, {"error": "unknown"}))
+        for task in list(self.tasks):
+            task.cancel()
+        for answer in self.calls.values():
+            if not answer.done():
+                answer.set_result(UNKNOWN)
         try:
-            await asyncio.wait_for(self.port.stop(), CLOSE)
+            await asyncio.wait_for(self.port.stop(), PORT_STOP_S)
         except TimeoutError:
             pass
         await self.wires.stop()
         self.writer.shutdown()
 
-    async def released(self):
-        """Waits until the others need this member's vote no more; the member bounds it."""
+    async def wait_until_released(self) -> None:
+        """Wait until the others need this member's vote no more; the member bounds it."""
         while not self.member.released():
-            await asyncio.sleep(TICK)
+            await asyncio.sleep(TICK_S)
 
-    async def decided(self, seconds):
+    async def wait_for_answers(self, seconds: float) -> None:
+        """Wait until all requests are answered, no longer than that."""
         until = identifiers.steady() + 1000 * seconds
         while self.calls and identifiers.steady() < until:
-            await asyncio.sleep(TICK / 2)
+            await asyncio.sleep(TICK_S / 2)
+
+    # operators
 
-    async def ask(self, verb, body):
-        """(status, body) of an operator's ask; see docs/platform.md."""
+    async def ask(self, verb: str, body: Document) -> Answer:
+        """The answer (status and document) to an operator's request; see docs/platform.md."""
         if self.stopping:
-            return 503, {"error": "stopping"}
-        self.n += 1
-        call = f"{self.me.seat}-{os.urandom(3).hex()}-{self.n}"
-        f = self.calls[call] = asyncio.get_running_loop().create_future()
+            return STOPPING
+        self.last_call += 1
+        call = f"{self.me.seat}-{os.urandom(3).hex()}-{self.last_call}"
+        answer = self.calls[call] = asyncio.get_running_loop().create_future()
         try:
-            self.step(base.Asked(identifiers.steady(), call, verb, body))
-            return await f
+            self.step(events.Asked(identifiers.steady(), call, verb, body))
+            return await answer
         finally:
             self.calls.pop(call, None)
 
-    # effects
+    def do_answer(self, effect: events.Answer) -> None:
+        """A request is answered."""
+        answer = self.calls.get(effect.call)
+        if answer and not answer.done():
+            answer.set_result((effect.status, effect.body))
 
-    def do_answer(self, e):
-        f = self.calls.get(e.call)
-        if f and not f.done():
-            f.set_result((e.status, e.body))
+    # the platform
 
-    def spawn(self, coro):
-        t = asyncio.get_running_loop().create_task(coro)
-        self.tasks.add(t)
-        t.add_done_callback(self.tasks.discard)
+    def spawn(self, work: collections.abc.Coroutine[typing.Any, typing.Any, None]) -> None:
+        """Do something beside the loop's other work."""
+        task = asyncio.get_running_loop().create_task(work)
+        self.tasks.add(task)
+        task.add_done_callback(self.tasks.discard)
 
-    def do_list(self, e):
+    def do_list(self, effect: effects.List) -> None:
+        """Read the platform's list."""
         self.spawn(self.list())
 
-    async def list(self):
-        rows = await self.called(self.port.list())
+    async def list(self) -> None:
+        """Read the platform's list."""
+        rows = await self.call_port(self.port.list(), None)
         self.listed_at = self.listed_at if rows is None else identifiers.steady()
-        self.step(events.Listed(identifiers.steady(), rows is not None, rows or []))
+        self.step(controller_events.Listed(identifiers.steady(), rows is not None, rows or []))
 
-    def do_order(self, e):
-        self.spawn(self.order(e))
+    def do_order(self, effect: effects.Order) -> None:
+        """Send an order to its replica."""
+        self.spawn(self.order(effect))
 
-    async def order(self, e):
-        """Not sent where another may order by now."""
-        at = identifiers.steady()
-        got = await self.called(self.port.order(e), "unknown") if self.acts(e) else "failed"
+    async def order(self, effect: effects.Order) -> None:
+        """Send an order to its replica, but not where another may order by now."""
+        sent_at = identifiers.steady()
+        outcome: str = order_types.OrderOutcome.FAILED
+        if self.may_send(effect):
+            outcome = await self.call_port(self.port.order(effect), order_types.OrderOutcome.UNKNOWN.value)
         now = identifiers.steady()
-        self.step(events.Ordered(now, e.order, got, identifiers.Millis(now - at)))
+        took = identifiers.Millis(now - sent_at)
+        self.step(controller_events.Ordered(now, effect.order, outcome, took))
+
+    def may_send(self, effect: effects.Order) -> bool:
+        """Whether this controller alone may send this order, as of now."""
+        self.member.now = max(self.member.now, identifiers.steady())
+        owns: bool = self.member.owns(effect.replica, effect.fence)
+        return owns
 
-    def do_report(self, e):
-        self.spawn(self.report(e))
+    def do_report(self, effect: effects.Report) -> None:
+        """Ask a replica what it holds."""
+        self.spawn(self.report(effect))
 
-    async def report(self, e):
-        got = await self.called(self.port.report(e))
-        self.step(events.Reported(identifiers.steady(), e.replica, got is not None, got or {}))
+    async def report(self, effect: effects.Report) -> None:
+        """Ask a replica what it holds."""
+        report = await self.call_port(self.port.report(effect), None)
+        answered = report is not None
+        self.step(controller_events.Reported(identifiers.steady(), effect.replica, answered, report or {}))
 
-    async def called(self, coro, otherwise=None):
-        """What a call to the port gives; one that breaks is told of, and no more."""
+    async def call_port(
+        self, call: collections.abc.Coroutine[typing.Any, typing.Any, Result], otherwise: Result
+    ) -> Result:
+        """What a call to the port gives; `otherwise` where it raises, which is logged."""
         try:
-            return await coro
-        except Exception as e:
-            logs.note(80, {"why": f"{type(e).__name__}: {e}"})
+            return await call
+        except Exception as error:
+            logs.note(log_events.Event.PORT_CALL_FAILED, {"why": f"{type(error).__name__}: {error}"})
             return otherwise
--- a/basaltport/controller/shard_ownership.py
+++ b/basaltport/controller/shard_ownership.py
@@ -1,324 +1,180 @@
-"""Orders to replicas, cut by key over the controllers: slices are owned under a fence, by leased owners.
+"""Who sends orders to which replicas: replicas are sharded by their ids, and each shard has one leased
+owner.
 
-The leader plans and gives slices by agreed entries; the serial of an entry is the fence of what it gives.
-Whom it takes a slice from has stopped before: its lease is over, or it has applied that the slice is no
-longer its own."""
+The leader gives shards by agreed entries; the index of an entry is the fencing token of what it gives. Whom
+it takes a shard from has stopped before: its lease is over, or it has applied that the shard is no longer
+its own.
+"""
 
+import typing
 import zlib
 
-import basaltport.consensus.follower as follower
-import basaltport.consensus.follower_lease as follower_lease
+import basaltport.controller.executor_leases as executor_leases
 import basaltport.identifiers as identifiers
-import basaltport.messages as messages
-import basaltport.placement.effects as effects
-
-SLICES = 12
-WAIT = 100
-SETTLE = 600
-QUIET = 500
-SILENT = 1000
-GATHER = 1000
-STALE = 700
-ANSWER = 1700
-UNEVEN = 5000
-MOVE = 2000
+import basaltport.log_events as log_events
+
+SHARDS = 12
+LEASE_MARGIN_MS = 100
+"""Added to the time for which a replica is left alone between the orders of two owners."""
+GATHER_MS = 1000
+"""A new leader of a new fleet waits so long for all members before it gives the first shards."""
+UNEVEN_MS = 5000
+"""Shards are evened out once they were uneven for so long,"""
+MOVE_EVERY_MS = 2000
+"""and no more than one in so long."""
 SPREAD = 3
-NEVER = -(10**9)
+"""The difference of the most and the least shards of members that counts as uneven."""
 
+ShardRow = executor_leases.ShardRow
+ShardRows = executor_leases.ShardRows
 
-@messages.message(50)
-class OrderRequest:
-    """Planner to executor. `echo`: the newest ack of the executor's that the planner has; by its age an order
-    that was held up on its way is known. `adapter` is "" for a model."""
 
-    gen: identifiers.Term
-    order: int
-    echo: int
-    address: str
-    replica: identifiers.ReplicaId
-    at: str
-    kind: str
-    model: str
-    adapter: str
-    fence: identifiers.Fence
+def shard_of(replica_id: str) -> str:
+    """The shard of a replica."""
+    return str(zlib.crc32(replica_id.encode()) % SHARDS)
 
 
-@messages.message(51)
-class OrderResult:
-    """`outcome` as in `controller.events.Ordered`; failed where nothing was sent."""
+class ShardOwnershipNeeds(executor_leases.ExecutorLeasesNeeds, typing.Protocol):
+    """What `ShardOwnershipMixin` needs besides."""
 
-    gen: identifiers.Term
-    order: int
-    outcome: str
-    took: identifiers.Millis
+    replica_lease_ms: int
+    """For how long a replica is left alone between the orders of two owners."""
+    gone: dict[str, int]
 
+    def holds(self) -> bool:
+        """Whether this leader's lease is confirmed."""
 
-@messages.message(52)
-class ExecutorResigned:
-    """A seat stops: in the life that `k`, one of its acks, is of, it sends no order any more."""
+    def leased(self) -> bool:
+        """Whether this follower is leased."""
 
-    seat: identifiers.MemberId
-    k: int
+    def live(self) -> set[str]:
+        """The members that were heard of lately."""
 
+    def pending(self, *kinds: str) -> bool:
+        """Whether an entry of one of these kinds is appended and not agreed."""
 
-def shard_of(replica):
-    return str(zlib.crc32(replica.encode()) % SLICES)
+    def append(self, operation: dict[str, typing.Any]) -> identifiers.LogIndex:
+        """Append an entry; its index."""
 
+    def note(self, number: int, **fields: object) -> None:
+        """Log an event."""
 
-class ShardOwnershipMixin:
-    """Needs RosterMixin, VoterMixin and CampaignMixin, which come after it. `lease_ms`: as in settings."""
 
-    def duties_start(self):
-        self.duty_n = 0
-        self.doing = {}
-        self.ceded = None
-        self.seen_of = None
-        self.seen = {}
-        self.top_seen = 0
-        self.forget_orders()
-        self.see_slices()
-        self.listeners.stopping.append(self.resign_at_stop)
-        self.listeners.heartbeat_heard.append(self.resign_again)
-        self.listeners.leader_resigned.append(self.note_resigned)
-        self.listeners.leadership_started.append(self.duties_lead_start)
+if typing.TYPE_CHECKING:
 
-    def forget_orders(self):
-        self.put_out = {}
-        self.returned = []
+    class Needs(executor_leases.ExecutorLeasesMixin, ShardOwnershipNeeds):
+        """The other parts of the controller."""
+else:
+    Needs = executor_leases.ExecutorLeasesMixin
 
-    def slices(self):
-        return self.book.get("slices") or {}
 
-    def see_slices(self):
-        """Since when each slice's row is known to be in force, on this controller's clock."""
-        self.top_seen = max(self.top_seen, self.book["serial"])
-        rows = self.slices()
-        if rows is self.seen_of:
-            return
-        self.seen_of = rows
-        for i, r in rows.items():
-            if self.seen.get(i, (None,))[0] != r["fence"]:
-                self.seen[i] = (r["fence"], self.now)
-
-    def ripe(self, i):
-        """Whether the last owner but one has been still for long enough."""
-        r = self.slices()[i]
-        if r["was"] == r["owner"]:
-            return True
-        fence, at = self.seen.get(i, (None, 0))
-        return fence == r["fence"] and self.now - at >= self.lease_ms + WAIT
-
-    # the executor
+class ShardOwnershipMixin(Needs):
+    """Knows which shards this controller owns, and, where it leads, gives shards to members."""
 
-    def duty_leased(self):
-        return self.holds() if self.leading else self.leased()
+    def shard_ownership_start(self) -> None:
+        """Begin with the shards of the agreed state."""
+        self.executor_leases_start()
+        self.noted_shards: ShardRows | None = None
+        self.fence_noted: dict[str, tuple[int, int]] = {}
+        """By shard: its newest fencing token, and when it was first seen here."""
+        self.newest_index = 0
+        self.uneven_at = self.moved_at = 0
+        self.listeners.leadership_started.append(self.balance_later)
+        self.note_shards()
 
-    def owns(self, replica, fence):
-        """Whether this controller alone may order there now."""
-        i = shard_of(replica)
-        r = self.slices().get(i)
-        if self.stopped or r is None or r["owner"] != self.me.seat or r["fence"] != fence:
-            return False
-        return self.book["serial"] >= self.top_seen and self.ripe(i) and self.duty_leased()
+    def shards(self) -> ShardRows:
+        """The shards by the agreed state here."""
+        rows: ShardRows = self.book.get("slices") or {}
+        return rows
 
-    def hear_orderrequest(self, src, m):
-        fresh = self.now - self.sent_at.get(m.echo, NEVER) <= STALE
-        if m.gen < self.promised or not fresh or not self.owns(m.replica, m.fence):
-            self.send(m.address, OrderResult(m.gen, m.order, "failed", identifiers.Millis(0)))
-            return
-        self.carry_out(
-            m.address, m.gen, m.order, m.replica, m.at, m.kind, m.model, m.adapter or None, m.fence
-        )
-
-    def carry_out(self, address, gen, order, replica, at, kind, model, adapter, fence):
-        self.duty_n += 1
-        self.doing[self.duty_n] = (address, gen, order)
-        self.emit(effects.Order(self.duty_n, replica, at, kind, model, adapter, self.me.name, fence))
-
-    def on_ordered(self, ev):
-        address, gen, order = self.doing.pop(ev.order, (None, None, None))
-        if gen is None:
+    def note_shards(self) -> None:
+        """Note since when each shard's row is known to be in force, on this controller's clock."""
+        self.newest_index = max(self.newest_index, self.book["serial"])
+        rows = self.shards()
+        if rows is self.noted_shards:
             return
-        m = OrderResult(gen, order, ev.outcome, ev.took)
-        if address == self.me.addr:
-            self.hear_orderresult("", m)
-            return
-        self.send(address, m)
-
-    def resign_at_stop(self):
-        """Whoever leads need not wait for this one's lease."""
-        if not self.leading and self.leader is not None:
-            self.send(self.leader.addr, ExecutorResigned(self.me.seat, self.ack_k))
-
-    def resign_again(self, m):
-        """A leader that was elected since is told as well."""
-        if self.stopped and not self.leading:
-            self.send(m.addr, ExecutorResigned(self.me.seat, self.ack_k))
-
-    # the planner
-
-    def may_order(self, replica):
-        """As far as the leader knows: its owner is leased, knows of it, has waited, and what another planner
-        had ordered through it has arrived."""
-        i = shard_of(replica)
-        r = self.slices().get(i)
-        if not self.leading or r is None or r != self.tip_book["slices"].get(i) or not self.ripe(i):
-            return False
-        s = r["owner"]
-        if s not in self.tip_book["roster"] or self.now - self.duty_since.get(s, self.now) < SETTLE:
-            return False
-        if s == self.me.seat:
-            return self.holds() and not self.stopped
-        if self.now - self.acks.get(s, NEVER) > QUIET or s in self.gone or not self.duty_held(s):
-            return False
-        return s in self.echoes and self.echoes[s][2] >= r["fence"]
+        self.noted_shards = rows
+        for shard, row in rows.items():
+            if self.fence_noted.get(shard, (None,))[0] != row["fence"]:
+                self.fence_noted[shard] = (row["fence"], self.now)
+
+    def former_owner_stopped(self, shard: str) -> bool:
+        """Whether replicas were left alone for long enough since the former owner's last order."""
+        row = self.shards()[shard]
+        if row["was"] == row["owner"]:
+            return True
+        fence, noted_at = self.fence_noted.get(shard, (None, 0))
+        waited_ms = self.now - noted_at
+        return fence == row["fence"] and waited_ms >= self.replica_lease_ms + LEASE_MARGIN_MS
 
-    def route_order(self, e):
-        """An order of Placement's, to the owner of its slice."""
-        if not self.may_order(e.replica):
-            self.returned.append(e.order)
-            return
-        r = self.slices()[shard_of(e.replica)]
-        s, fence = r["owner"], identifiers.Fence(r["fence"])
-        self.put_out[e.order] = self.now
-        if s == self.me.seat:
-            what = (e.replica, e.address, e.kind, e.model, e.adapter, fence)
-            self.carry_out(self.me.addr, self.promised, e.order, *what)
-            return
-        what = (e.replica, e.address, e.kind, e.model, e.adapter or "", fence)
-        addr = self.addr_of(s) or self.tip_book["roster"][s]["addr"]
-        self.send(addr, OrderRequest(self.promised, e.order, self.echoes[s][0], self.me.addr, *what))
+    def executor_leased(self) -> bool:
+        """Whether this controller may send orders at all."""
+        return self.holds() if self.leading else self.leased()
 
-    def hear_orderresult(self, src, m):
-        """That an executor was fenced says nothing of who leads."""
-        if not self.leading or m.gen != self.promised or m.order not in self.put_out:
-            return
-        del self.put_out[m.order]
-        outcome = "failed" if m.outcome == "fenced" else m.outcome
-        self.call_placement(self.placement.ordered, m.order, outcome, m.took)
+    def owns(self, replica_id: str, fence: int) -> bool:
+        """Whether this controller alone may order there now, under a fencing token."""
+        shard = shard_of(replica_id)
+        row = self.shards().get(shard)
+        if self.stopped or row is None or row["owner"] != self.me.seat or row["fence"] != fence:
+            return False
+        up_to_date = self.book["serial"] >= self.newest_index
+        return up_to_date and self.former_owner_stopped(shard) and self.executor_leased()
 
     # the leader
 
-    def duties_lead_start(self, got):
-        """Every other controller may be leased by who led before, but for one that handed over itself."""
-        gen, ceded = self.former_term, self.ceded
-        self.lease_end = -1
-        rows = self.tip_book.get("slices") or {}
-        seats = {*self.tip_book["roster"], *(r[k] for r in rows.values() for k in ("owner", "was"))}
-        until = self.now + self.policy.follower_lease_ms + follower_lease.MARGIN
-        self.duty_lapse = {s: until for s in seats if s != self.me.seat and ceded != (gen, s)}
-        self.duty_since = {}
-        self.resigned = {}
+    def balance_later(self, votes: object) -> None:
+        """A new leader does not even out shards at once."""
         self.uneven_at = self.moved_at = self.now
 
-    def note_resigned(self, m):
-        """The leader that is followed hands over."""
-        self.ceded = (m.gen, self.leader.seat)
-
-    def hear_executorresigned(self, src, m):
-        e = self.echoes.get(m.seat) if self.leading else None
-        if e is None or e[0] >> follower.LIFE != m.k >> follower.LIFE:
-            return
-        self.resigned[m.seat] = m.k >> follower.LIFE
-        self.duty_lapse.pop(m.seat, None)
-
-    def echo_for(self, s, r):
-        """Only to a seat that has applied the last change of hands, and once this lead is agreed."""
-        if s not in self.echoes or s not in self.tip_book["roster"] or not self.settled():
-            return 0
-        k, at, applied = self.echoes[s]
-        if self.gave_up(s) or applied < self.top_fence():
-            return 0
-        self.duty_since.setdefault(s, self.now)
-        self.duty_lapse[s] = max(
-            self.duty_lapse.get(s, 0), at + self.policy.follower_lease_ms + follower_lease.MARGIN
-        )
-        return k
-
-    def top_fence(self):
-        return max((r["fence"] for r in (self.tip_book.get("slices") or {}).values()), default=0)
-
-    def gave_up(self, s):
-        return s in self.resigned and self.resigned[s] == self.echoes[s][0] >> follower.LIFE
-
-    def duty_held(self, s):
-        """Whether a seat may believe that it is leased."""
-        return s == self.me.seat or self.now < self.duty_lapse.get(s, 0)
-
-    def lost(self, s):
-        if s == self.me.seat or self.duty_held(s):
-            return False
-        if s not in self.tip_book["roster"] or s in self.echoes and self.gave_up(s):
-            return True
-        return self.now - max(self.acks.get(s, self.since), self.awake_at) > SILENT
-
-    def let_go(self, r):
-        """Whether who owned a slice before knows that it does no more, or is leased no more."""
-        s = r["was"]
-        if s is None or not self.duty_held(s):
-            return True
-        if s == self.me.seat:
-            return self.book["serial"] >= r["fence"]
-        return s in self.echoes and self.echoes[s][2] >= r["fence"]
-
-    def tick_duties(self):
-        if not self.leading:
+    def assign_shards(self) -> None:
+        """Give shards that nobody owns, or whose owner is lost, and even them out in calm times."""
+        rows, roster = self.latest_shards(), self.tip_book["roster"]
+        live = sorted(member_id for member_id in self.live() & roster.keys() if self.may_own(member_id))
+        if not rows and len(live) < len(roster) and self.now - self.since < GATHER_MS:
             return
-        for n, at in list(self.put_out.items()):
-            if self.now - at > ANSWER:
-                del self.put_out[n]
-                self.call_placement(self.placement.ordered, n, "unknown", identifiers.Millis(self.now - at))
-        orders, self.returned = self.returned, []
-        for n in orders:
-            self.call_placement(self.placement.ordered, n, "failed", identifiers.Millis(0))
-        if self.leading and self.holds() and not self.stopped:
-            self.duty_since.setdefault(self.me.seat, self.now)
-            if not self.pending("slices"):
-                self.keep_slices()
-
-    def keep_slices(self):
-        rows, roster = self.tip_book.get("slices") or {}, self.tip_book["roster"]
-        live = sorted(
-            s
-            for s in self.live() & roster.keys() - self.gone.keys()
-            if not (s in self.echoes and self.gave_up(s))
-        )
-        if not rows and len(live) < len(roster) and self.now - self.since < GATHER:
+        free = [str(i) for i in range(SHARDS) if self.needs_owner(rows.get(str(i)))]
+        if free:
+            self.give_shards(rows, free, live)
             return
-        todo = [str(i) for i in range(SLICES) if self.wanting(rows.get(str(i)))]
-        if todo:
-            return self.give(rows, todo, live)
-        ripe = [i for i, r in rows.items() if r["owner"] and r["was"] != r["owner"] and self.ripe(i)]
-        if ripe:
-            self.append({"op": "slices", "ripe": ripe})
+        waited = [i for i, row in rows.items() if row["owner"] and row["was"] != row["owner"]]
+        waited = [i for i in waited if self.former_owner_stopped(i)]
+        if waited:
+            self.append({"op": "slices", "ripe": waited})
             return
-        self.even_out(rows, live)
+        self.balance_shards(rows, live)
+
+    def may_own(self, member_id: str) -> bool:
+        """Whether a live member may be given shards: it neither leaves nor has resigned."""
+        return member_id not in self.gone and not (member_id in self.echoes and self.has_resigned(member_id))
 
-    def wanting(self, r):
-        if r is None:
+    def needs_owner(self, row: ShardRow | None) -> bool:
+        """Whether a shard may be given to somebody now."""
+        if row is None:
             return True
-        return self.let_go(r) if r["owner"] is None else self.lost(r["owner"])
-
-    def give(self, rows, todo, live):
-        n = {s: sum(r["owner"] == s for r in rows.values()) for s in live}
-        to = {}
-        for i in todo:
-            to[i] = min(live, key=lambda s: (n[s], s))
-            n[to[i]] += 1
-        names = sorted({self.tip_book["roster"][s]["name"] for s in to.values()})
-        self.note(18, slices=sorted(to, key=int), owners=names)
-        self.append({"op": "slices", "give": to})
-
-    def even_out(self, rows, live):
-        """In calm times one slice after another goes from who has most to who has least."""
-        n = {s: sorted(i for i, r in rows.items() if r["owner"] == s) for s in live}
-        most, least = max(n, key=lambda s: (len(n[s]), s)), min(n, key=lambda s: (len(n[s]), s))
-        calm = len(live) == len(self.tip_book["roster"]) and all(
-            r["owner"] == r["was"] for r in rows.values()
-        )
-        if not calm or len(n[most]) - len(n[least]) < SPREAD:
+        return self.former_owner_released(row) if row["owner"] is None else self.is_lost(row["owner"])
+
+    def give_shards(self, rows: ShardRows, free: list[str], live: list[str]) -> None:
+        """Give each free shard to whoever has the fewest."""
+        counts = {member_id: sum(row["owner"] == member_id for row in rows.values()) for member_id in live}
+        owners: dict[str, str | None] = {}
+        for shard in free:
+            owner = min(live, key=lambda member_id: (counts[member_id], member_id))
+            owners[shard] = owner
+            counts[owner] += 1
+        names = sorted({self.tip_book["roster"][member_id]["name"] for member_id in owners.values()})
+        self.note(log_events.Event.DUTIES_HANDED, slices=sorted(owners, key=int), owners=names)
+        self.append({"op": "slices", "give": owners})
+
+    def balance_shards(self, rows: ShardRows, live: list[str]) -> None:
+        """In calm times one shard after another goes from who has most to who has fewest."""
+        owned = {m: sorted(i for i, row in rows.items() if row["owner"] == m) for m in live}
+        most = max(owned, key=lambda member_id: (len(owned[member_id]), member_id))
+        fewest = min(owned, key=lambda member_id: (len(owned[member_id]), member_id))
+        settled = all(row["owner"] == row["was"] for row in rows.values())
+        calm = settled and len(live) == len(self.tip_book["roster"])
+        if not calm or len(owned[most]) - len(owned[fewest]) < SPREAD:
             self.uneven_at = self.now
             return
-        if self.now - self.uneven_at >= UNEVEN and self.now - self.moved_at >= MOVE:
+        if self.now - self.uneven_at >= UNEVEN_MS and self.now - self.moved_at >= MOVE_EVERY_MS:
             self.moved_at = self.now
-            self.append({"op": "slices", "give": {n[most][0]: None}})
+            self.append({"op": "slices", "give": {owned[most][0]: None}})
--- a/tests/model_mutations.py
+++ b/tests/model_mutations.py
@@ -23,8 +23,8 @@
 import basaltport.consensus.voter as voter
 import basaltport.fleet.follow as follow
 import basaltport.fleet.publish as publish
-import basaltport.controller.operator_requests as desk
-import basaltport.controller.shard_ownership as duties
+import basaltport.controller.operator_requests as requests
+import basaltport.controller.order_execution as execution
 import basaltport.identifiers as identifiers
 import basaltport.member as member
 import basaltport.model.finding as finding
@@ -247,7 +247,7 @@
     Mutation(
         "read without a majority's word",
         {Rule.WORD},
-        [(desk.DeskMixin, "confirm", confirm_at_once)],
+        [(requests.OperatorRequestsMixin, "confirm", confirm_at_once)],
         range(1, 9),
     ),
     Mutation(
@@ -369,16 +369,16 @@
     Mutation(
         "change not compared with its base",
         {Rule.HISTORY},
-        [(desk.DeskMixin, "judged", judged_without_base)],
+        [(requests.OperatorRequestsMixin, "judge_change", judged_without_base)],
         range(1, 20),
     ),
     Mutation(
         "orders without a lease",
         {Rule.ORDERS},
         [
-            (duties.ShardOwnershipMixin, "duty_leased", always),
-            (duties.ShardOwnershipMixin, "ripe", always),
-            (duties, "STALE", 10**9),
+            (execution.OrderExecutionMixin, "executor_leased", always),
+            (execution.OrderExecutionMixin, "former_owner_stopped", always),
+            (execution, "REQUEST_FRESH_MS", 10**9),
         ],
         range(1, 60),
     ),
--- a/tests/test_control_scenarios.py
+++ b/tests/test_control_scenarios.py
@@ -9,7 +9,7 @@
 import basaltport.consensus.replication as replication
 import basaltport.consensus.timing as timing
 import basaltport.consensus.voting_policy as voting_policy
-import basaltport.controller.operator_requests as desk
+import basaltport.controller.operator_requests as operator_requests
 import basaltport.controller.node as role
 import basaltport.simulation.routes.control as control
 import basaltport.simulation.routes.control_losses as control_losses
@@ -78,7 +78,7 @@
 # mutations
 
 _judged, _load_for, _keep_snapshot = (
-    desk.DeskMixin.judged,
+    operator_requests.OperatorRequestsMixin.judge_change,
     replication.ReplicationMixin.load_for,
     role.Controller.keep_snapshot,
 )
@@ -130,13 +130,13 @@
 
 _stubborn = dataclasses.replace(voting_policy.DISK_MEMBERS, leader_step_down_ms=10**6)
 NEVER_STEPS_DOWN = [(voting_policy, "DISK_MEMBERS", _stubborn), (timing, "LEADER_LEASE", 10**6)]
-UNCONFIRMED = (desk.DeskMixin, "confirm", _read_without_majority)
-JUDGED = (desk.DeskMixin, "judged")
+UNCONFIRMED = (operator_requests.OperatorRequestsMixin, "confirm", _read_without_majority)
+JUDGED = (operator_requests.OperatorRequestsMixin, "judge_change")
 MUTATIONS = [
     (
         "stale-read",
         "leader-cut-20s",
-        [*NEVER_STEPS_DOWN, (desk.DeskMixin, "confirm", _read_without_majority)],
+        [*NEVER_STEPS_DOWN, (operator_requests.OperatorRequestsMixin, "confirm", _read_without_majority)],
     ),
     ("one-holder", "leader-cut-20s", NEVER_STEPS_DOWN),
     ("holder-behind", "leader-cut-20s", NEVER_STEPS_DOWN),
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -3,7 +3,8 @@
 import pytest
 
 import basaltport.events as events
-import basaltport.controller.shard_ownership as duties
+import basaltport.controller.messages as messages
+import basaltport.controller.shard_ownership as shard_ownership
 import basaltport.controller.events as role_events
 import basaltport.placement.effects as effects
 import tests.controller_parts as parts
@@ -95,7 +96,7 @@
         super().freeze(name, on)
 
     def do_send(self, n, e):
-        if isinstance(e.msg, duties.OrderRequest) and self.rng.random() < self.slow:
+        if isinstance(e.msg, messages.OrderRequest) and self.rng.random() < self.slow:
             to = self.by_addr[e.addr]
             self.later(self.rng.randrange(100, 900), self.arrive, n, to, to.life, e.msg)
             return
@@ -134,7 +135,7 @@
 
 def of(w, name):
     o = w.owners()
-    return [r for r in REPLICAS if o[duties.shard_of(r)] == name]
+    return [r for r in REPLICAS if o[shard_ownership.shard_of(r)] == name]
 
 
 def gap(w, name, at):
@@ -211,7 +212,7 @@
     assert k not in w.owners().values()
     w.run(40_000)
     o = list(w.owners().values())
-    assert max(o.count(x) for x in w.nodes) - min(o.count(x) for x in w.nodes) < duties.SPREAD
+    assert max(o.count(x) for x in w.nodes) - min(o.count(x) for x in w.nodes) < shard_ownership.SPREAD
 
 
 @pytest.mark.parametrize("leads", [True, False])
@@ -230,12 +231,12 @@
     w = founded()
     lead, n = w.nodes[w.leader()].member, w.nodes[controllers.others(w)[0]]
     r = of(w, n.name)[0]
-    f = lead.book["slices"][duties.shard_of(r)]["fence"]
+    f = lead.book["slices"][shard_ownership.shard_of(r)]["fence"]
     gen, k = lead.promised, lead.echoes[n.seat][0]
     older = type(gen)(gen.count - 1, gen.name)
 
     def does(g, fence, echo):
-        m = duties.OrderRequest(g, 999, echo, lead.me.addr, r, "a:1", "load", "m", "", fence)
+        m = messages.OrderRequest(g, 999, echo, lead.me.addr, r, "a:1", "load", "m", "", fence)
         return any(isinstance(e, effects.Order) for e in n.member.step(events.Heard(w.now, "", m)))
 
     assert does(gen, f, k)
@@ -286,9 +287,9 @@
 @pytest.fixture
 def lively(monkeypatch):
     """Slices go from hand to hand more often."""
-    monkeypatch.setattr(duties, "UNEVEN", 300)
-    monkeypatch.setattr(duties, "MOVE", 100)
-    monkeypatch.setattr(duties, "SPREAD", 2)
+    monkeypatch.setattr(shard_ownership, "UNEVEN_MS", 300)
+    monkeypatch.setattr(shard_ownership, "MOVE_EVERY_MS", 100)
+    monkeypatch.setattr(shard_ownership, "SPREAD", 2)
 
 
 @pytest.mark.parametrize("part", range(8))
@@ -309,17 +310,19 @@
     return True
 
 
-def ripe(self, i):
+def waited(self, shard):
     return True
 
 
 def unfenced(self, replica, fence):
-    return not self.stopped and self.duty_leased()
+    return not self.stopped and self.executor_leased()
 
 
-@pytest.mark.parametrize("name,wrong", [("duty_leased", leased), ("ripe", ripe), ("owns", unfenced)])
+@pytest.mark.parametrize(
+    "name,wrong", [("executor_leased", leased), ("former_owner_stopped", waited), ("owns", unfenced)]
+)
 def test_the_check_sees_what_is_wrong(name, wrong, lively, monkeypatch):
-    monkeypatch.setattr(duties.ShardOwnershipMixin, name, wrong)
+    monkeypatch.setattr(shard_ownership.ShardOwnershipMixin, name, wrong)
     with pytest.raises(AssertionError):
         for seed in range(60):
             play(seed)
--- a/tests/test_log_gaps.py
+++ b/tests/test_log_gaps.py
@@ -3,7 +3,7 @@
 import pytest
 
 import basaltport.consensus.book as book
-import basaltport.controller.shard_ownership as duties
+import basaltport.controller.shard_ownership as shard_ownership
 import basaltport.identifiers as identifiers
 import basaltport.messages as messages
 import tests.controllers as controllers
@@ -68,7 +68,7 @@
     leader.acks[out] = leader.now
     assert out in leader.live()
     leader.tip_book = {**leader.tip_book, "slices": {}}
-    leader.since = leader.now - duties.GATHER
-    leader.keep_slices()
+    leader.since = leader.now - shard_ownership.GATHER_MS
+    leader.assign_shards()
     given = [e["op"].get("give", {}) for e in leader.tail if e["op"]["op"] == "slices"]
     assert given and out not in {owner for give in given for owner in give.values()}
--- a/tests/test_route_scenarios.py
+++ b/tests/test_route_scenarios.py
@@ -4,8 +4,8 @@
 
 import basaltport.consensus.elect as elect
 import basaltport.fleet.follow as follow
-import basaltport.controller.operator_requests as desk
-import basaltport.controller.shard_ownership as duties
+import basaltport.controller.operator_requests as operator_requests
+import basaltport.controller.shard_ownership as shard_ownership
 import basaltport.placement.replica_choice as replica_choice
 import basaltport.placement.machine as machine
 import basaltport.placement.plan_execution as plan_execution
@@ -43,7 +43,7 @@
 
 # mutations
 
-_refuse, _judged = node.ProxyNode.refuse, desk.DeskMixin.judged
+_refuse, _judged = node.ProxyNode.refuse, operator_requests.OperatorRequestsMixin.judge_change
 _requests_waiting = machine.Placement.requests_waiting
 
 
@@ -147,8 +147,12 @@
     ("back", "quiet", [(follow.FollowMixin, "take_book", _forgets)]),
     ("agreed", "power-loss", [(simdisk.SimDisk, "done", _not_written)]),
     ("fed", "rare-models-at-once", [(follow.FollowMixin, "take_rows", _rows_once)]),
-    ("refused", "operators-race", [(desk.DeskMixin, "judged", _taken_though_refused)]),
-    ("refused", "operators-race", [(desk.DeskMixin, "judged", _no_compare)]),
+    (
+        "refused",
+        "operators-race",
+        [(operator_requests.OperatorRequestsMixin, "judge_change", _taken_though_refused)],
+    ),
+    ("refused", "operators-race", [(operator_requests.OperatorRequestsMixin, "judge_change", _no_compare)]),
     ("survives", "power-loss", [(simdisk.SimDisk, "done", _not_written)]),
     ("resends", "replicas-refuse", [(retry_budget.Retries, "room", lambda self, now, nodes: True)]),
     ("cold", "replicas-cold", [(load_balancing.PickMixin, "cold_share", lambda self, r, row: 10**6)]),
@@ -169,7 +173,7 @@
         "rare-models-at-once",
         [(node.ProxyNode, "expire", lambda self: None), (machine.Placement, "requests_waiting", _not_m20)],
     ),
-    ("acked", "quiet", [(desk.DeskMixin, "acknowledge", lambda self, w: None)]),
+    ("acked", "quiet", [(operator_requests.OperatorRequestsMixin, "acknowledge", lambda self, w: None)]),
 ]
 
 
@@ -188,6 +192,6 @@
 
 
 def test_two_holders_within_the_lease_are_found(monkeypatch):
-    monkeypatch.setattr(duties.ShardOwnershipMixin, "ripe", lambda self, i: True)
-    monkeypatch.setattr(duties.ShardOwnershipMixin, "duty_leased", lambda self: True)
+    monkeypatch.setattr(shard_ownership.ShardOwnershipMixin, "former_owner_stopped", lambda self, i: True)
+    monkeypatch.setattr(shard_ownership.ShardOwnershipMixin, "duty_leased", lambda self: True)
     assert any(rules_broken("core-cut", seed) == {"holders"} for seed in range(1, 13))
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -9,7 +9,7 @@
 import basaltport.consensus.journal as journal
 import basaltport.consensus.member_identity as member_identity
 import basaltport.consensus.record_framing as record_framing
-import basaltport.controller.shard_ownership as shard_ownership
+import basaltport.controller.messages as controller_messages
 import basaltport.fleet.messages as fleet_messages
 import basaltport.frames as frames
 import basaltport.identifiers as identifiers
@@ -153,7 +153,7 @@
 
 
 def test_there_is_a_frame_of_every_kind():
-    assert fleet_messages and shard_ownership
+    assert fleet_messages and controller_messages
     assert {VALUES[file.stem][0] for file in FRAME_FILES} == set(messages.KINDS)
 
 
