--- a/tests/test_route_scenarios.py
+++ b/tests/test_route_scenarios.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-import basaltport.consensus.elect as elect
+import basaltport.consensus.election as election
 import basaltport.fleet.follow as follow
 import basaltport.controller.operator_requests as operator_requests
 import basaltport.controller.shard_ownership as shard_ownership
@@ -11,8 +11,10 @@
 import basaltport.placement.plan_execution as plan_execution
 import basaltport.placement.token_bucket as token_bucket
 import basaltport.simulation.routes.mayhem as routemayhem
+import basaltport.simulation.routes.request_rows as request_rows
 import basaltport.simulation.routes.scenes as routescenes
-import basaltport.simulation.virtual_disk as virtual_disk
+import basaltport.simulation.trace as trace
+import basaltport.simulation.virtual_disk as simdisk
 import basaltport.proxy.retry_budget as retry_budget
 import basaltport.proxy.retry_decision as retry_decision
 import basaltport.proxy.load_balancing as load_balancing
@@ -27,7 +29,8 @@
 def test_no_rule_breaks(name, seed):
     p = routescenes.Play(name, seed).play()
     assert p.findings() == []
-    assert sum(r["k"] == "op-end" and r["outcome"] == "done" for r in p.w.trace) > 300
+    ends = trace.of_kind(p.world.trace, request_rows.OperationEnd)
+    assert sum(row.outcome == "done" for row in ends) > 300
 
 
 @pytest.mark.parametrize("name, seed", [("proxy-killed-while-models-move", 2), ("leader-disk-stalled", 1)])
@@ -36,14 +39,14 @@
 
 
 def test_one_seed_is_one_run():
-    traces = [routescenes.Play("mayhem", 5).play().w.trace for _ in range(2)]
+    traces = [routescenes.Play("mayhem", 5).play().world.trace for _ in range(2)]
     assert traces[0] == traces[1]
     assert routemayhem.schedule(7) == routemayhem.schedule(7) != routemayhem.schedule(8)
 
 
 # mutations
 
-_refuse, _judged = node.ProxyNode.refuse, operator_requests.OperatorRequestsMixin.judge_change
+_refuse, _judged = node.ProxyNode.reject, operator_requests.OperatorRequestsMixin.judge_change
 _requests_waiting = machine.Placement.requests_waiting
 
 
@@ -55,12 +58,12 @@
     return retry_decision.Move.REFUSE
 
 
-def _any_state(self, r, row):
-    return row["zone"] not in self.book["drains"]
+def _any_state(self, replica):
+    return replica.zone not in self.node.evacuated_zones()
 
 
-def _any_zone(self, r, row):
-    return row["state"] == "ready"
+def _any_zone(self, replica):
+    return replica.state == "ready"
 
 
 def _book_once(self, m):
@@ -75,7 +78,7 @@
     old = getattr(self, "old", None)
     if old is None or doc["edition"] <= old["edition"]:
         self.old = doc
-    elif self.now - self.born > 12_000:
+    elif self.now - self.budgets.started_at > 12_000:
         self.book = {**self.book, "manifest": old}
 
 
@@ -137,15 +140,15 @@
         "replicas-ill",
         [
             (retry_decision, "proven_safe", _all_may_go_again),
-            (routing.Route, "repeatable", lambda self: True),
+            (routing.Route, "is_repeatable", lambda self: True),
         ],
     ),
     ("promise", "replicas-ill", [(retry_decision, "give_up", _all_is_refused)]),
-    ("draining", "released-one-by-one", [(load_balancing.PickMixin, "open", _any_state)]),
-    ("evacuated", "evacuation-while-a-keeper-dies", [(load_balancing.PickMixin, "open", _any_zone)]),
+    ("draining", "released-one-by-one", [(load_balancing.LoadBalancer, "is_open", _any_state)]),
+    ("evacuated", "evacuation-while-a-keeper-dies", [(load_balancing.LoadBalancer, "is_open", _any_zone)]),
     ("in-force", "quiet", [(follow.FollowMixin, "take_book", _book_once)]),
     ("back", "quiet", [(follow.FollowMixin, "take_book", _forgets)]),
-    ("agreed", "power-loss", [(virtual_disk.VirtualDisk, "done", _not_written)]),
+    ("agreed", "power-loss", [(simdisk.VirtualDisk, "done", _not_written)]),
     ("fed", "rare-models-at-once", [(follow.FollowMixin, "take_rows", _rows_once)]),
     (
         "refused",
@@ -153,9 +156,9 @@
         [(operator_requests.OperatorRequestsMixin, "judge_change", _taken_though_refused)],
     ),
     ("refused", "operators-race", [(operator_requests.OperatorRequestsMixin, "judge_change", _no_compare)]),
-    ("survives", "power-loss", [(virtual_disk.VirtualDisk, "done", _not_written)]),
-    ("resends", "replicas-refuse", [(retry_budget.Retries, "room", lambda self, now, nodes: True)]),
-    ("cold", "replicas-cold", [(load_balancing.PickMixin, "cold_share", lambda self, r, row: 10**6)]),
+    ("survives", "power-loss", [(simdisk.VirtualDisk, "done", _not_written)]),
+    ("resends", "replicas-refuse", [(retry_budget.RetryBudget, "has_room", lambda self, now, nodes: True)]),
+    ("cold", "replicas-cold", [(load_balancing.LoadBalancer, "slow_start_share", lambda self, row: 10**6)]),
     ("store", "rare-models-at-once", [(token_bucket.TokenBucket, "fill", _endless)]),
     (
         "room",
@@ -166,8 +169,8 @@
         ],
     ),
     ("starved", "rare-models-at-once", [(machine.Placement, "requests_waiting", _not_m20)]),
-    ("back", "all-killed", [(elect.ElectMixin, "quorum", _only_founding)]),
-    ("final-word", "replicas-refuse", [(node.ProxyNode, "refuse", _now)]),
+    ("back", "all-killed", [(election.ElectionMixin, "quorum", _only_founding)]),
+    ("final-word", "replicas-refuse", [(node.ProxyNode, "reject", _now)]),
     (
         "held",
         "rare-models-at-once",
@@ -181,7 +184,7 @@
 
 
 def rules_broken(name, seed):
-    return {f["rule"] for f in routescenes.Play(name, seed).play().findings()}
+    return {found.rule for found in routescenes.Play(name, seed).play().findings()}
 
 
 @pytest.mark.parametrize("rule, name, breaks", CASES, ids=[f"{c[0]}-{c[1]}" for c in CASES])
