--- a/basaltport/cold_start/decision.py
+++ b/basaltport/cold_start/decision.py
@@ -27,7 +27,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Policy:
-    """In what the two request paths differ; docs/adr-0041.md says why."""
+    """In what the two request paths differ; docs/design/adr-0041.md says why."""
 
     wait_spends_deadline: bool
     """Whether the readiness limit ends with the client's deadline at the latest. Where it does not, the
--- a/basaltport/consensus/journal.py
+++ b/basaltport/consensus/journal.py
@@ -1,7 +1,7 @@
 """The disk of a member: its identity, a snapshot of its state, and the log of what came after it.
 
 A switch writes a new snapshot and an empty log beside those in force, syncs them and their names, and puts
-them in force by one rename. docs/storage.md says what holds after a loss of power, and why.
+them in force by one rename. docs/design/storage.md says what holds after a loss of power, and why.
 """
 
 import dataclasses
--- a/basaltport/log_events.py
+++ b/basaltport/log_events.py
@@ -1,4 +1,4 @@
-"""The events of the log: each has a number, a name and a meaning, which docs/events.md lists too."""
+"""The events of the log: each has a number, a name and a meaning, which docs/operate/events.md lists too."""
 
 import enum
 
--- a/basaltport/proxy/header_names.py
+++ b/basaltport/proxy/header_names.py
@@ -8,7 +8,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Words:
-    """`resume` and `prefix` as in docs/relay.md; `not_run` on an answer promises that nothing ran."""
+    """`resume` and `prefix` as in docs/design/proxy.md; `not_run` on an answer promises that nothing ran."""
 
     request_id: str = "Basaltport-Request"
     deadline: str = "Basaltport-Deadline-Ms"
--- a/basaltport/simulation/routes/timings.py
+++ b/basaltport/simulation/routes/timings.py
@@ -5,8 +5,8 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Timings:
-    """Bounds in the unit that a name ends with, else shares or counts; see docs/platform.md for those that
-    proxies read."""
+    """Bounds in the unit that a name ends with, else shares or counts; see docs/design/platform.md for those
+    that proxies read."""
 
     drain_ms: int = 3000
     """From when the list shows that a replica drains until no request is sent to it."""
--- a/basaltport/simulation/virtual_disk.py
+++ b/basaltport/simulation/virtual_disk.py
@@ -17,8 +17,8 @@
 
 
 class VirtualDisk:
-    """The log's own frames and replay; the switch of snapshots is one step, as a rename is. docs/storage.md
-    says why a power loss of the real files comes to what `power_loss` does here."""
+    """The log's own frames and replay; the switch of snapshots is one step, as a rename is.
+    docs/design/storage.md says why a power loss of the real files comes to what `power_loss` does here."""
 
     def __init__(self, rng: random.Random) -> None:
         """It holds nothing, as a new one."""
--- a/tests/test_crash.py
+++ b/tests/test_crash.py
@@ -1,4 +1,4 @@
-"""The disk at every cut of what it does, in every way a loss of power can leave it (docs/storage.md)."""
+"""The disk at every cut of what it does, in every way a power loss can leave it (docs/design/storage.md)."""
 
 import pytest
 
--- a/tests/test_request_bytes.py
+++ b/tests/test_request_bytes.py
@@ -1,4 +1,4 @@
-"""Every event at every byte boundary of a request and its answer: see docs/request-sweep.md."""
+"""Every event at every byte boundary of a request and its answer: see docs/evidence/request-sweep.md."""
 
 import socket
 
