--- a/basaltport/scale/play.py
+++ b/basaltport/scale/play.py
@@ -1,288 +1,355 @@
 """One scale run at one size: calm, changes, a lost replica, nodes that start anew, a lost leader."""
 
 import asyncio
+import collections.abc
 import random
 import statistics
 import time
+import typing
+
+import absl.flags as flags
 
 import basaltport.identifiers as identifiers
 import basaltport.scale.count as count
 import basaltport.scale.fleet as fleet
 import basaltport.scale.size as size_
 
-POLL = 0.1
-START = 40
-WAIT = 20
+POLL_S = 0.1
+START_S = 40
+WAIT_S = 20
 CHANGES = 5
-SETTLE = 2.0
-LEAST_CALM = 4
-AROUND = 45
+SETTLE_S = 2.0
+PLACEMENT_S = 2.5
+"""Until a new leader gives orders."""
+LEAST_CALM_S = 4
+AROUND_S = 45
+"""What a run takes beside its calm window."""
 LOSSES = 3
-HOUR = 46
-CUT = 4
+LOSS_APART_S = 0.7
+HOUR_CHANGES = 46
+"""Changes of the configuration in an hour."""
+CUT_S = 4
 WINDOWS = 3
-END = 3
+END_S = 3
+MS = 1000
+OK = 200
+RATES = ("cpu_percent", "waited_percent", "memory_mb", "messages_in", "messages_out", "bytes_in", "bytes_out")
+SIDES = ("kinds_in", "kinds_out")
+
+Measured = dict[str, typing.Any]
+"""A part of the report, as JSON has it."""
+Samples = dict[str, count.Reading]
+"""By name of the process."""
+Found = typing.TypeVar("Found")
 
 
-class Broken(Exception):
+class BrokenError(Exception):
     """The run could not be carried through; the reason is its text."""
 
 
-def times(at, since):
+def times(at: collections.abc.Sequence[float], since: float) -> dict[str, int]:
     """{"p50", "max"} in ms."""
-    ms = [t - since for t in at]
-    return {"p50": int(statistics.median(ms)), "max": max(ms)}
+    ms = [moment - since for moment in at]
+    return {"p50": int(statistics.median(ms)), "max": int(max(ms))}
+
+
+def worst(of: collections.abc.Sequence[dict[str, int]]) -> dict[str, int]:
+    """The median of medians and the longest of several `times`."""
+    return {"p50": int(statistics.median(each["p50"] for each in of)), "max": max(each["max"] for each in of)}
 
 
-def merged(samples):
-    """Readings of processes of one role as those of one; memory is the largest."""
-    out = {k: statistics.fmean(s[k] for s in samples) for k in RATES}
+def merged(samples: collections.abc.Sequence[count.Rates]) -> Measured:
+    """Rates of processes of one role as those of one; memory is the largest."""
+    out: Measured = {key: statistics.fmean(rates[key] for rates in samples) for key in RATES}
     out["processes"] = len(samples)
-    out["peak_mb"] = max(s["peak_mb"] for s in samples)
-    for side in ("kinds_in", "kinds_out"):
-        names = sorted({k for s in samples for k in s[side]})
-        out[side] = {
-            k: [round(statistics.fmean(s[side].get(k, (0, 0))[i] for s in samples), 2) for i in (0, 1)]
-            for k in names
-        }
+    out["peak_mb"] = max(rates["peak_mb"] for rates in samples)
+    for side in SIDES:
+        by_kind = traffic(samples, side)
+        out[side] = {kind: [round(n / len(samples), 2) for n in pair] for kind, pair in by_kind.items()}
     return out
 
 
-RATES = ("cpu_percent", "waited_percent", "memory_mb", "messages_in", "messages_out", "bytes_in", "bytes_out")
+def traffic(samples: collections.abc.Sequence[count.Rates], side: str) -> dict[str, tuple[float, float]]:
+    """Messages and bytes a second of all processes together, by kind."""
+    kinds = sorted({kind for rates in samples for kind in rates[side]})
+    out = {}
+    for kind in kinds:
+        pairs = [rates[side].get(kind, count.NO_TRAFFIC) for rates in samples]
+        out[kind] = sum(pair[0] for pair in pairs), sum(pair[1] for pair in pairs)
+    return out
 
 
 class Run:
-    """`calm`: seconds of the calm window; `most_mb`: memory that all processes may take together."""
+    """One run; `out` is what it has measured so far."""
 
-    def __init__(self, size, folder, opts, calm, most_mb):
-        self.f = fleet.ScaleFleet(size, folder, opts)
+    def __init__(
+        self, size: size_.Size, folder: str, options: flags.FlagValues, calm_s: float, most_mb: float
+    ) -> None:
+        """`calm_s`: seconds of the calm window; `most_mb`: memory that all processes may take together."""
+        self.fleet = fleet.ScaleFleet(size, folder, options)
         self.size = size
-        self.calm = calm
+        self.calm_s = calm_s
         self.most_mb = most_mb
-        self.out = {"size": size.doc()}
+        self.out: Measured = {"size": size.doc()}
+        self.phase = PHASES[0]
+        self.leader_name = ""
+        self.edition = 0
 
-    async def go(self, seconds):
+    async def go(self, seconds: float) -> Measured:
         """What was measured within so long; everything that was started has ended."""
         started = time.monotonic()
-        self.f.start()
+        self.fleet.start()
         try:
             async with asyncio.timeout(seconds):
                 for self.phase in PHASES:
                     await self.one(getattr(self, self.phase))
-        except (Broken, TimeoutError) as e:
-            self.failed(e)
+        except (BrokenError, TimeoutError) as error:
+            self.failed(error)
         finally:
-            state = await self.f.ask_all(self.f.of("proxy", "hollow"), "state")
-            self.out["broken"] = [b for s in state.values() if s for b in s["broken"]]
-            self.f.close()
-            await asyncio.get_running_loop().run_in_executor(None, self.f.stop)
+            state = await self.fleet.ask_all(self.followers(), "state")
+            self.out["broken"] = [what for answers in state.values() if answers for what in answers["broken"]]
+            self.fleet.close()
+            await asyncio.get_running_loop().run_in_executor(None, self.fleet.stop)
         self.out["took_s"] = round(time.monotonic() - started, 1)
         return self.out
 
-    async def one(self, phase):
+    async def one(self, phase: collections.abc.Callable[[], collections.abc.Awaitable[None]]) -> None:
         """A phase after the first that fails does not end the run."""
         try:
-            self.lead = await self.until(self.leader, START, "a leader")
+            self.leader_name = await self.until(self.leader, START_S, "a leader")
             await phase()
-        except Broken as e:
+        except BrokenError as error:
             if self.phase == PHASES[0]:
                 raise
-            self.failed(e)
-
-    def failed(self, e):
-        self.out.setdefault("ended", []).append(f"{self.phase}: {str(e) or 'the time is over'}")
-
-    async def until(self, test, seconds, what):
+            self.failed(error)
+
+    def failed(self, error: Exception) -> None:
+        """Notes why a phase ended."""
+        self.out.setdefault("ended", []).append(f"{self.phase}: {str(error) or 'the time is over'}")
+
+    async def until(
+        self,
+        test: collections.abc.Callable[[], collections.abc.Awaitable[Found | None]],
+        seconds: float,
+        what: str,
+    ) -> Found:
+        """What a test gives once it is not None; BrokenError after so many seconds."""
         end = time.monotonic() + seconds
         while time.monotonic() < end:
-            got = await test()
-            if got is not None:
-                return got
-            await asyncio.sleep(POLL)
-        raise Broken(f"{what}: not within {seconds} s")
-
-    async def leader(self):
-        got = await self.f.ask_all(self.f.of("controller"), "sample")
-        return next((n for n, s in got.items() if s and s["leads"]), None)
-
-    async def marked(self, what, key, since, seconds=WAIT):
+            found = await test()
+            if found is not None:
+                return found
+            await asyncio.sleep(POLL_S)
+        raise BrokenError(f"{what}: not within {seconds} s")
+
+    def followers(self) -> list[str]:
+        """Processes that follow the feed."""
+        return self.fleet.of("proxy", "hollow")
+
+    async def leader(self) -> str | None:
+        """The controller that leads, or None."""
+        answers = await self.fleet.ask_all(self.fleet.of("controller"), "sample")
+        return next((name for name, reading in answers.items() if reading and reading["leads"]), None)
+
+    async def marked(
+        self, what: str, key: int | str, since: float, seconds: float = WAIT_S
+    ) -> dict[str, int]:
         """{"p50", "max"} in ms from a time until every follower has a mark."""
 
-        async def test():
-            got = await self.f.ask_all(self.f.of("proxy", "hollow"), "marks", what=what, key=key)
-            at = [t for s in got.values() for t in (s["at"] if s else [None])]
-            return at if None not in at else None
+        async def test() -> list[float] | None:
+            answers = await self.fleet.ask_all(self.followers(), "marks", what=what, key=key)
+            at = [moment for answer in answers.values() for moment in (answer["at"] if answer else [None])]
+            known = [moment for moment in at if moment is not None]
+            return known if len(known) == len(at) else None
 
         return times(await self.until(test, seconds, f"{what} {key} at all nodes"), since)
 
-    async def ask(self, verb, body):
-        """An operator's ask at a controller that does not lead: the longer way."""
-        k = next(n for n in self.f.of("controller") if n != self.lead)
-        return await self.f.ask(k, "ask", verb=verb, body=body)
-
-    async def samples(self):
-        got = await self.f.ask_all(self.f.of("controller", "proxy", "hollow"), "sample")
-        if None in got.values():
-            raise Broken("a process ended: " + ", ".join(n for n, s in got.items() if s is None))
-        total = sum(s["memory_mb"] for s in got.values())
+    async def ask(self, verb: str, body: Measured) -> fleet.Answer | None:
+        """An operator's request at a controller that does not lead: the longer way."""
+        name = next(name for name in self.fleet.of("controller") if name != self.leader_name)
+        return await self.fleet.ask(name, "ask", verb=verb, body=body)
+
+    async def asked(self, name: str, do: str, **fields: object) -> fleet.Answer:
+        """A part's answer; BrokenError where it gives none."""
+        answer = await self.fleet.ask(name, do, **fields)
+        if answer is None:
+            raise BrokenError(f"{name} does not answer: {do}")
+        return answer
+
+    async def asked_all(
+        self, names: collections.abc.Sequence[str], do: str, **fields: object
+    ) -> dict[str, fleet.Answer]:
+        """The answers of several parts; BrokenError where one gives none."""
+        answers = await self.fleet.ask_all(names, do, **fields)
+        ended = [name for name, answer in answers.items() if answer is None]
+        if ended:
+            raise BrokenError("a process ended: " + ", ".join(ended))
+        return {name: answer for name, answer in answers.items() if answer is not None}
+
+    async def samples(self) -> Samples:
+        """Readings of all processes."""
+        answers = await self.asked_all(self.fleet.of("controller", "proxy", "hollow"), "sample")
+        total = sum(reading["memory_mb"] for reading in answers.values())
         if total > self.most_mb:
-            raise Broken(f"{total:.0f} MB in use, over half of the machine's memory")
+            raise BrokenError(f"{total:.0f} MB in use, over half of the machine's memory")
         self.out["memory_of_all_mb"] = max(round(total), self.out.get("memory_of_all_mb", 0))
-        return got
+        return answers
 
-    async def begin(self):
+    async def begin(self) -> None:
+        """The first configuration, until every follower has it."""
         since = int(identifiers.steady())
         body = {"change": "1", "base": 0, "document": size_.document(self.size)}
 
-        async def test():
-            got = await self.ask("configure", body)
-            return got if got and got["status"] == 200 else None
+        async def test() -> fleet.Answer | None:
+            answer = await self.ask("configure", body)
+            return answer if answer and answer["status"] == OK else None
 
-        await self.until(test, START, "the first configuration")
+        await self.until(test, START_S, "the first configuration")
         self.edition = 1
-        self.out["whole_ms"] = await self.marked("whole", 0, since, START)
-        await asyncio.sleep(SETTLE + 2.5)
+        self.out["whole_ms"] = await self.marked("whole", 0, since, START_S)
+        await asyncio.sleep(SETTLE_S + PLACEMENT_S)
 
-    async def rest(self):
+    async def rest(self) -> None:
         """Processor, memory and what is said while nothing happens but reports and loads."""
-        for self.out["windows"] in range(1, WINDOWS + 1):
-            a = await self.samples()
-            await asyncio.sleep(self.calm)
-            b = await self.samples()
-            if b[self.lead]["leads"] and b[self.lead]["gen"] == a[self.lead]["gen"]:
-                break
-            self.lead = await self.until(self.leader, WAIT, "a leader")
-        else:
-            raise Broken("the leader changed in every calm window")
-        rates = {n: count.between(a[n], b[n]) for n in a}
-        by = {"leader": [rates[self.lead]]}
-        by["controller"] = [rates[n] for n in self.f.of("controller") if n != self.lead]
-        by["proxy"] = [rates[n] for n in self.f.of("proxy")]
-        hollow = [rates[n] for n in self.f.of("hollow")]
-        by["hollow node"] = [{**merged(hollow), **self.shared(hollow)}]
-        self.out["roles"] = {k: merged(v) for k, v in by.items() if v}
-        self.out["rows"], self.out["proxies"] = b[self.lead]["rows"], b[self.lead]["proxies"]
-
-    def shared(self, hollow):
+        first, later = await self.calm_window()
+        rates = {name: count.between(first[name], later[name]) for name in first}
+        others = [name for name in self.fleet.of("controller") if name != self.leader_name]
+        hollow = [rates[name] for name in self.fleet.of("hollow")]
+        by_role = {
+            "leader": [rates[self.leader_name]],
+            "controller": [rates[name] for name in others],
+            "proxy": [rates[name] for name in self.fleet.of("proxy")],
+            "hollow node": [{**merged(hollow), **self.shared(hollow)}],
+        }
+        self.out["roles"] = {role: merged(of) for role, of in by_role.items() if of}
+        answers = later[self.leader_name]
+        self.out["rows"], self.out["proxies"] = answers["rows"], answers["proxies"]
+
+    async def calm_window(self) -> tuple[Samples, Samples]:
+        """Samples at both ends of a window in which one controller led."""
+        for window in range(1, WINDOWS + 1):
+            self.out["windows"] = window
+            first = await self.samples()
+            await asyncio.sleep(self.calm_s)
+            later = await self.samples()
+            before, after = first[self.leader_name], later[self.leader_name]
+            if after["leads"] and after["term"] == before["term"]:
+                return first, later
+            self.leader_name = await self.until(self.leader, WAIT_S, "a leader")
+        raise BrokenError("the leader changed in every calm window")
+
+    def shared(self, hollow: collections.abc.Sequence[count.Rates]) -> Measured:
         """Per node, of processes that many share."""
-        n = self.size.nodes
-        out = {k: sum(s[k] for s in hollow) / n for k in RATES + ("peak_mb",)}
-        for side in ("kinds_in", "kinds_out"):
-            names = {k for s in hollow for k in s[side]}
-            out[side] = {
-                k: [sum(s[side].get(k, (0, 0))[i] for s in hollow) / n for i in (0, 1)] for k in names
-            }
+        nodes = self.size.nodes
+        out: Measured = {key: sum(rates[key] for rates in hollow) / nodes for key in (*RATES, "peak_mb")}
+        for side in SIDES:
+            by_kind = traffic(hollow, side)
+            out[side] = {kind: [n / nodes for n in pair] for kind, pair in by_kind.items()}
         return out
 
-    async def changes(self):
-        a = await self.samples()
-        at, acked = [], []
+    async def changes(self) -> None:
+        """Changes of the configuration, each until every follower has it."""
+        before = await self.samples()
+        at, acknowledged = [], []
         for _ in range(CHANGES):
             since = int(identifiers.steady())
-            got = await self.change()
-            acked.append(got["at"] - since)
-            at.append(await self.marked("serial", got["body"]["serial"], since))
-        b = await self.samples()
-        self.out["change_ms"] = {
-            "acknowledged_p50": int(statistics.median(acked)),
-            "p50": int(statistics.median(t["p50"] for t in at)),
-            "max": max(t["max"] for t in at),
-        }
-        self.out["change_leader"] = self.sent(a, b, CHANGES)
-
-    async def change(self):
+            answer = await self.change()
+            acknowledged.append(answer["at"] - since)
+            at.append(await self.marked("log_index", answer["body"]["serial"], since))
+        after = await self.samples()
+        self.out["change_ms"] = {"acknowledged_p50": int(statistics.median(acknowledged)), **worst(at)}
+        self.out["change_leader"] = self.sent(before, after, CHANGES)
+
+    async def change(self) -> fleet.Answer:
+        """One change; BrokenError where it is not taken."""
         body = {"change": str(self.edition + 1), "base": self.edition}
-        got = await self.ask("reconfigure", {**body, "patch": size_.change(self.edition + 1)})
-        if not got or got["status"] != 200:
-            raise Broken(f"a change was not taken: {got}")
+        answer = await self.ask("reconfigure", {**body, "patch": size_.change(self.edition + 1)})
+        if not answer or answer["status"] != OK:
+            raise BrokenError(f"a change was not taken: {answer}")
         self.edition += 1
-        return got
+        return answer
 
-    def sent(self, a, b, parts=1):
+    def sent(self, before: Samples, after: Samples, parts: int = 1) -> Measured:
         """What the leader spent between two samples, per part; processor in ms."""
-        x, y = a[self.lead], b[self.lead]
-        out = {
-            "cpu_ms": 1000 * (y["cpu_s"] - x["cpu_s"]) / parts,
-            "seconds": (y["at"] - x["at"]) / 1000 / parts,
+        first, later = before[self.leader_name], after[self.leader_name]
+        was = first["out"].get("Update", count.NO_TRAFFIC)
+        now = later["out"].get("Update", count.NO_TRAFFIC)
+        return {
+            "cpu_ms": MS * (later["cpu_s"] - first["cpu_s"]) / parts,
+            "seconds": (later["at"] - first["at"]) / MS / parts,
+            "updates": (now[0] - was[0]) / parts,
+            "update_bytes": (now[1] - was[1]) / parts,
         }
-        kind = (0, 0)
-        n, size = (
-            p - q for p, q in zip(y["out"].get("Update", kind), x["out"].get("Update", kind), strict=True)
-        )
-        return {**out, "updates": n / parts, "update_bytes": size / parts}
-
-    async def lost_replica(self):
-        a, at = await self.samples(), []
-        for k in range(LOSSES):
-            await asyncio.sleep(random.random() * 0.7)
-            at.append(await self.lose([f"replica-{self.size.replicas - 1 - k}"]))
-        self.out["lost_replica_ms"] = {
-            "p50": int(statistics.median(t["p50"] for t in at)),
-            "max": max(t["max"] for t in at),
-        }
-        self.out["lost_replica_leader"] = self.sent(a, await self.samples(), LOSSES)
 
-    async def lose(self, ids):
+    async def lost_replica(self) -> None:
+        """Replicas that leave the list, one after another."""
+        before, at = await self.samples(), []
+        for lost in range(LOSSES):
+            await asyncio.sleep(random.random() * LOSS_APART_S)
+            at.append(await self.lose([f"replica-{self.size.replicas - 1 - lost}"]))
+        self.out["lost_replica_ms"] = worst(at)
+        self.out["lost_replica_leader"] = self.sent(before, await self.samples(), LOSSES)
+
+    async def lose(self, ids: collections.abc.Sequence[str]) -> dict[str, int]:
         """Takes replicas off the list; {"p50", "max"} in ms until every follower knows."""
-        got = await self.f.ask_all(self.f.of("controller"), "lose", ids=ids)
-        return await self.marked("gone", ids[-1], min(s["at"] for s in got.values()))
+        answers = await self.asked_all(self.fleet.of("controller"), "lose", ids=ids)
+        return await self.marked("gone", ids[-1], min(answer["at"] for answer in answers.values()))
 
-    async def restarts(self):
+    async def restarts(self) -> None:
         """All nodes of one process start anew at once, as a rack that comes back."""
-        host = self.f.of("hollow")[0]
-        n = len(self.f.confs[host]["nodes"])
-        a = await self.samples()
-        got = await self.f.ask(host, "restart", n=n)
-        if got is None:
-            raise Broken("no restart")
-        at = await self.marked("whole", 0, got["at"])
-        self.out["restart_ms"] = {"max": at["max"], "nodes": n}
-        self.out["restart_leader"] = self.sent(a, await self.samples())
-
-    async def fail(self):
+        host = self.fleet.of("hollow")[0]
+        nodes = len(self.fleet.parts[host]["nodes"])
+        before = await self.samples()
+        answer = await self.asked(host, "restart", count=nodes)
+        at = await self.marked("whole", 0, answer["at"])
+        self.out["restart_ms"] = {"max": at["max"], "nodes": nodes}
+        self.out["restart_leader"] = self.sent(before, await self.samples())
+
+    async def fail(self) -> None:
         """From the kill: until a new leader holds, and until every node follows it and has its rows."""
-        gen = (await self.f.ask(self.lead, "sample"))["gen"]
-        was = await self.samples()
+        old = self.leader_name
+        term = (await self.asked(old, "sample"))["term"]
+        before = await self.samples()
         since = int(identifiers.steady())
-        self.f.kill(self.lead)
-        old, self.lead = self.lead, await self.until(self.leader, WAIT, "a new leader")
-        got = await self.f.ask(self.lead, "sample")
-        out = {"holds": max(int(t) for t in got["held"].values()) - since}
-        out["followed"] = await self.marked("gen", got["gen"], since)
-        await asyncio.sleep(SETTLE)
-        out["generations"] = got["gen"] - gen
+        self.fleet.kill(old)
+        self.leader_name = await self.until(self.leader, WAIT_S, "a new leader")
+        answers = await self.asked(self.leader_name, "sample")
+        out: Measured = {"holds": max(int(at) for at in answers["held"].values()) - since}
+        out["followed"] = await self.marked("term", answers["term"], since)
+        await asyncio.sleep(SETTLE_S)
+        out["generations"] = answers["term"] - term
         self.out["lost_leader_ms"] = out
-        self.out["lost_leader_leader"] = self.sent(was, await self.samples())
+        self.out["lost_leader_leader"] = self.sent(before, await self.samples())
         self.out["lost"] = old
 
-    async def region(self):
+    async def region(self) -> None:
         """Nodes of one region hear nothing for as many changes as come in an hour; then they do again."""
-        zones = [z for z, r in size_.ZONES if r == size_.ZONES[-1][1]]
-        hosts = self.f.of("hollow")
-        await self.f.ask_all(hosts, "cut", zones=zones, cut=True)
-        await asyncio.sleep(CUT)
-        for _ in range(HOUR):
-            got = await self.change()
-        a = await self.samples()
-        back = await self.f.ask_all(hosts, "cut", zones=zones, cut=False)
-        since = min(s["at"] for s in back.values())
-        self.out["region_ms"] = await self.marked("serial", got["body"]["serial"], since)
-        self.out["region_leader"] = self.sent(a, await self.samples())
-
-    async def zone(self):
+        zones = [zone for zone, region in size_.ZONES if region == size_.ZONES[-1][1]]
+        hosts = self.fleet.of("hollow")
+        await self.fleet.ask_all(hosts, "cut", zones=zones, cut=True)
+        await asyncio.sleep(CUT_S)
+        for _ in range(HOUR_CHANGES):
+            answer = await self.change()
+        before = await self.samples()
+        back = await self.asked_all(hosts, "cut", zones=zones, cut=False)
+        since = min(answers["at"] for answers in back.values())
+        self.out["region_ms"] = await self.marked("log_index", answer["body"]["serial"], since)
+        self.out["region_leader"] = self.sent(before, await self.samples())
+
+    async def zone(self) -> None:
         """All hollow nodes of one process and all replicas of one zone are gone at once."""
-        a = await self.samples()
-        host = self.f.of("hollow")[0]
-        left = self.size.nodes - len(self.f.confs[host]["nodes"]) + len(self.f.of("proxy"))
-        n, z = self.size.replicas - LOSSES, size_.zone(0)
+        before = await self.samples()
+        host = self.fleet.of("hollow")[0]
+        left = self.size.nodes - len(self.fleet.parts[host]["nodes"]) + len(self.fleet.of("proxy"))
+        replicas, lost_zone = self.size.replicas - LOSSES, size_.zone(0)
         since = int(identifiers.steady())
-        if len(self.f.of("hollow")) > 1:
-            self.f.kill(host)
-        replicas = await self.lose([f"replica-{k}" for k in range(n) if size_.zone(k) == z])
-        self.out["zone_ms"] = {"replicas": replicas["max"]}
-        if host not in self.f.of("hollow"):
+        if len(self.fleet.of("hollow")) > 1:
+            self.fleet.kill(host)
+        gone = [f"replica-{index}" for index in range(replicas) if size_.zone(index) == lost_zone]
+        self.out["zone_ms"] = {"replicas": (await self.lose(gone))["max"]}
+        if host not in self.fleet.of("hollow"):
             self.out["zone_ms"]["nodes"] = (await self.marked("peers", left, since))["max"]
-        self.out["zone_leader"] = self.sent(a, await self.samples())
+        self.out["zone_leader"] = self.sent(before, await self.samples())
 
 
 PHASES = ("begin", "rest", "changes", "lost_replica", "restarts", "fail", "region", "zone")
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -71,7 +71,7 @@
         m = hollow.Marks()
         m.look(At(5, 2, 7), 10)
         m.look(At(5, 3, 1), 20)
-        assert not m.broken and m.at("gen", 3) == 20 and m.at("gen", 4) is None
+        assert not m.broken and m.at("term", 3) == 20 and m.at("term", 4) is None
         m.was = (5, identifiers.Term(2, "k"), 7)
         m.look(back, 30)
         assert len(m.broken) == 1
@@ -116,15 +116,11 @@
 
 def test_a_line_goes_through_its_points_and_takes_three_sizes():
     got = fit.line([(10, 25), (20, 45), (40, 85)]).ok_value
-    assert (
-        got["slope"] == pytest.approx(2)
-        and got["start"] == pytest.approx(5)
-        and got["r2"] == pytest.approx(1)
-    )
-    assert fit.reaches(got, 105) == pytest.approx(50) and got["spread"] is None
-    assert fit.line([(10, 1), (20, 2), (30, 3), (30, 5)]).ok_value["spread"] == 2
+    assert got.slope == pytest.approx(2) and got.start == pytest.approx(5) and got.r2 == pytest.approx(1)
+    assert fit.reaches(got, 105) == pytest.approx(50) and got.spread is None
+    assert fit.line([(10, 1), (20, 2), (30, 3), (30, 5)]).ok_value.spread == 2
     for few in ([], [(10, 1)], [(10, 1), (20, 2), (20, 3)]):
-        assert "takes 3 sizes" in fit.line(few).err_value["finding"]
+        assert "takes 3 sizes" in fit.line(few).err_value.finding
 
 
 BAD = [
