--- a/tests/test_route_scenarios.py
+++ b/tests/test_route_scenarios.py
@@ -196,5 +196,5 @@
 
 def test_two_holders_within_the_lease_are_found(monkeypatch):
     monkeypatch.setattr(shard_ownership.ShardOwnershipMixin, "former_owner_stopped", lambda self, i: True)
-    monkeypatch.setattr(shard_ownership.ShardOwnershipMixin, "duty_leased", lambda self: True)
+    monkeypatch.setattr(shard_ownership.ShardOwnershipMixin, "executor_leased", lambda self: True)
     assert any(rules_broken("core-cut", seed) == {"holders"} for seed in range(1, 13))
