--- a/basaltport/cold_start/limits.py
+++ b/basaltport/cold_start/limits.py
@@ -59,12 +59,3 @@
     ordered = sorted(recent_ms[-RECENT_LOADS:])
     rank = -(-len(ordered) * LOAD_PERCENTILE // 100)
     return ordered[rank - 1]
-
-
-# Earlier names, until all callers have moved over.
-POLL = POLL_SPACING_FLOOR_MS
-RECENT = RECENT_LOADS
-limit = readiness_limit_ms
-warm_for = warm_for_ms
-spacing = poll_spacing_ms
-expected = expected_load_ms
--- a/basaltport/placement/model_status.py
+++ b/basaltport/placement/model_status.py
@@ -73,11 +73,11 @@
         service = services[0]
         on_disk = any(self.replicas[i].next_step().from_disk for i in self.loading_on.get(model, ()))
         durations = self.load_durations.get((service.name, "disk" if on_disk else "store"))
-        model_ms: float = limits.expected(durations, service.models[model].load_ms)
+        model_ms: float = limits.expected_load_ms(durations, service.models[model].load_ms)
         if not adapter:
             return model_ms
         durations = self.load_durations.get((service.name, "adapter"))
-        adapter_ms: float = limits.expected(durations, ADAPTER_LOAD_MS)
+        adapter_ms: float = limits.expected_load_ms(durations, ADAPTER_LOAD_MS)
         return adapter_ms if self.is_held(model) else model_ms + adapter_ms
 
     def model_status(self, now: int, item: str) -> ModelStatus:
