--- a/basaltport/local_fleet/process.py
+++ b/basaltport/local_fleet/process.py
@@ -27,7 +27,7 @@
 
 async def run_proxy(settings: dict[str, typing.Any]) -> None:
     """Serve as a proxy until a signal ends the process."""
-    await proxy_server.ProxyServer(settings, header_names.Words()).run()
+    await proxy_server.ProxyServer(settings, header_names.HeaderNames()).run()
 
 
 async def run_stand_ins(settings: dict[str, typing.Any]) -> None:
--- a/basaltport/local_fleet/stand_ins.py
+++ b/basaltport/local_fleet/stand_ins.py
@@ -14,7 +14,7 @@
 REPORT_PATH = "/report"
 LISTING_PATH = "/replicas"
 STAMP = "stand-in"
-HEADERS = header_names.Words()
+HEADERS = header_names.HeaderNames()
 
 
 class StandIn:
--- a/basaltport/proxy/client_connections.py
+++ b/basaltport/proxy/client_connections.py
@@ -13,16 +13,19 @@
 Connection = aiohttp.web.RequestHandler
 
 LIBRARY_LIMIT_S = 24 * 3600
-AT_LEAST_S = 75
+"""Longer than any connection rests."""
+LEAST_REST_S = 75
+"""Connections may rest for so long whatever the configuration says."""
 MARGIN_S = 1
-MS = 1000
+"""They are kept for so much longer than clients are told."""
+SECOND_MS = 1000
 
 
-def at_rest(connection: Connection) -> bool:
+def is_at_rest(connection: Connection) -> bool:
     """Whether no request is on a connection, nor any byte of one unread."""
     if connection._waiter is None or connection._waiter.done() or connection._messages:
         return False
-    return connection.transport is not None and not upstream_pool.unread(connection.transport)
+    return connection.transport is not None and not upstream_pool.has_unread(connection.transport)
 
 
 def rested_s(connection: Connection, now_s: float) -> float:
@@ -35,9 +38,9 @@
 
     def __init__(self) -> None:
         """Nothing was promised yet."""
-        self.promised_s = 0.0
+        self.longest_promised_s = 0.0
 
     def seconds(self, limits: collections.abc.Mapping[str, int]) -> float:
         """The limit under a configuration's `limits`."""
-        self.promised_s = max(self.promised_s, limits.get("idle_close_ms", 0) / MS)
-        return max(AT_LEAST_S, self.promised_s + MARGIN_S)
+        self.longest_promised_s = max(self.longest_promised_s, limits.get("idle_close_ms", 0) / SECOND_MS)
+        return max(LEAST_REST_S, self.longest_promised_s + MARGIN_S)
--- /dev/null
+++ b/basaltport/proxy/client_server.py
@@ -0,0 +1,204 @@
+"""Clients' HTTP: requests are read, handed to the reducer, and answered by what comes of them."""
+
+import asyncio
+import collections.abc
+import typing
+
+import aiohttp
+import aiohttp.abc
+import aiohttp.http
+import aiohttp.web
+
+import basaltport.identifiers as identifiers
+import basaltport.member as member
+import basaltport.proxy.admission as admission
+import basaltport.proxy.client_connections as client_connections
+import basaltport.proxy.events as events
+import basaltport.proxy.head_timeout as head_timeout
+import basaltport.proxy.header_names as header_names
+import basaltport.proxy.memory_limit as memory_limit
+import basaltport.proxy.node as node
+import basaltport.proxy.request_body as request_body
+import basaltport.proxy.response as response
+import basaltport.proxy.response_delivery as response_delivery
+import basaltport.proxy.upstream as upstream
+import basaltport.sockets as sockets
+
+BODY_BYTES = 4 << 20
+"""The longest body that is read where the configuration sets no limit."""
+LINGER_S = 2.0
+"""How long the library reads what a client still sends after its answer."""
+LISTEN_BACKLOG = 1024
+MOST_TOKENS = 10**7
+"""More tokens of a prompt are not told apart."""
+BAD_REQUEST = 400
+NO_ROOM = "no-room"
+"""The label of requests whose bodies found no room, among the outcomes of attempts."""
+
+Settings = collections.abc.Mapping[str, typing.Any]
+
+
+class ClientServer:
+    """Takes clients on the address `listen` of the settings. `responses`: by request, until its answer is
+    with its client."""
+
+    server: head_timeout.HeadTimeoutServer
+    listener: asyncio.Server
+
+    def __init__(
+        self,
+        settings: Settings,
+        names: header_names.HeaderNames,
+        proxy: node.ProxyNode,
+        step: collections.abc.Callable[[member.Event], None],
+        is_stopping: collections.abc.Callable[[], bool],
+    ) -> None:
+        """`step`: gives the reducer an event; `is_stopping`: whether answers now end their connections."""
+        self.address = settings["listen"]
+        self.names = names
+        self.proxy = proxy
+        self.step = step
+        self.is_stopping = is_stopping
+        self.last_request_id = 0
+        self.responses: dict[int, response.ClientResponse] = {}
+        self.rest_limit = client_connections.RestLimit()
+        self.body_memory = memory_limit.from_settings(settings)
+        self.answer_memory = memory_limit.from_settings(settings)
+
+    async def listen(self) -> None:
+        """Take clients."""
+        self.server = head_timeout.HeadTimeoutServer(
+            self.serve,
+            request_factory=self.make_request,
+            handler_cancellation=True,
+            access_log=None,
+            keepalive_timeout=client_connections.LIBRARY_LIMIT_S,
+            max_line_size=upstream.LINE_BYTES,
+            max_field_size=upstream.FIELD_BYTES,
+            auto_decompress=False,
+            lingering_time=LINGER_S,
+            read_bufsize=upstream.READ_BUFFER_BYTES,
+        )
+        self.server.limit_heads(lambda: self.limits().get("header_wait_ms", 0))
+        host, port = sockets.host_and_port(self.address)
+        loop = asyncio.get_running_loop()
+        self.listener = await loop.create_server(self.server, host, port, backlog=LISTEN_BACKLOG)
+
+    def limits(self) -> collections.abc.Mapping[str, int]:
+        """The limits of all routes that are in force."""
+        return self.proxy.table.limits
+
+    def body_limit(self) -> int:
+        """The longest body that is read now, in bytes."""
+        return self.limits().get("body_bytes") or BODY_BYTES
+
+    # connections at rest
+
+    def close_idle(self) -> int:
+        """End connections that no request is on; gives how many are left.
+
+        Others end with their answer, which says so. The library's own close() is not used: it leaves idle
+        ones open and reads no more of a body on its way, so that what is sent is never answered.
+        """
+        busy = 0
+        for connection in self.server.connections:
+            if client_connections.is_at_rest(connection):
+                connection.force_close()
+            else:
+                busy += 1
+        return busy or len(self.responses)
+
+    def end_rested(self) -> None:
+        """End connections that have rested for longer than clients may."""
+        limit_s = self.rest_limit.seconds(self.limits())
+        now_s = asyncio.get_running_loop().time()
+        for connection in self.server.connections:
+            has_rested = client_connections.rested_s(connection, now_s) >= limit_s
+            if has_rested and client_connections.is_at_rest(connection):
+                connection.force_close()
+
+    # requests
+
+    def make_request(
+        self,
+        message: aiohttp.http.RawRequestMessage,
+        payload: aiohttp.StreamReader,
+        protocol: client_connections.Connection,
+        writer: aiohttp.abc.AbstractStreamWriter,
+        task: "asyncio.Task[None]",
+    ) -> aiohttp.web.BaseRequest:
+        """The library's request, with the limit that is in force for bodies."""
+        loop = asyncio.get_running_loop()
+        return aiohttp.web.BaseRequest(
+            message, payload, protocol, writer, task, loop, client_max_size=self.body_limit()
+        )
+
+    async def serve(self, request: aiohttp.web.BaseRequest) -> aiohttp.web.StreamResponse:
+        """Answer a request, from its head to its answer's last byte, with what it holds in memory."""
+        body_claim = memory_limit.Claim(self.body_memory)
+        answer_claim = memory_limit.Claim(self.answer_memory)
+        try:
+            return await self.serve_within(request, body_claim, answer_claim)
+        finally:
+            body_claim.release_all()
+            answer_claim.release_all()
+
+    async def serve_within(
+        self,
+        request: aiohttp.web.BaseRequest,
+        body_claim: memory_limit.Claim,
+        answer_claim: memory_limit.Claim,
+    ) -> aiohttp.web.StreamResponse:
+        """The same, with the claims that it may use."""
+        deadline_ms = header_names.number(request.headers.get(self.names.deadline))
+        began = identifiers.steady()
+        until = began + (deadline_ms if deadline_ms >= 0 else request_body.LONGEST_MS)
+        try:
+            body = await request_body.read(request, self.body_limit(), deadline_ms, body_claim)
+        except request_body.BodyRejectedError as rejected:
+            body_claim.release_all()
+            return self.reject_body(request, rejected.reason)
+        if not request.raw_path.startswith("/"):
+            return aiohttp.web.Response(status=BAD_REQUEST)
+        self.last_request_id += 1
+        request_id = self.last_request_id
+        answer = response.ClientResponse(request, body, self.names, self.is_stopping, answer_claim)
+        self.responses[request_id] = answer
+        try:
+            self.step(self.arrival(request_id, request, began))
+            reply = await answer.done
+            return await response_delivery.deliver(request, reply, until - identifiers.steady())
+        except asyncio.CancelledError:
+            self.step(events.Left(identifiers.steady(), request_id))
+            raise
+        finally:
+            self.responses.pop(request_id, None)
+
+    def arrival(self, request_id: int, request: aiohttp.web.BaseRequest, began: float) -> events.Arrived:
+        """What the reducer is told of a request. `began`: when its head was there, in ms."""
+        names, headers, now = self.names, request.headers, identifiers.steady()
+        tokens = headers.get(names.tokens, "").partition(",")[0]
+        return events.Arrived(
+            now,
+            request_id,
+            headers.get("Host", ""),
+            request.raw_path.partition("?")[0],
+            identifiers.Item(headers.get(names.model, "")),
+            header_names.number(headers.get(names.deadline)),
+            header_names.number(tokens, MOST_TOKENS),
+            headers.get(names.prefix, "").rpartition(",")[0],
+            int(now - began),
+        )
+
+    def reject_body(
+        self, request: aiohttp.web.BaseRequest, reason: request_body.Reason
+    ) -> aiohttp.web.StreamResponse:
+        """Our own answer where a body was not read: nothing ran, nor will."""
+        if reason is not request_body.Reason.NO_ROOM:
+            return aiohttp.web.Response(status=reason.value)
+        tally = self.proxy.tally
+        tally[NO_ROOM] = tally.get(NO_ROOM, 0) + 1
+        claim = memory_limit.Claim(self.answer_memory)
+        answer = response.ClientResponse(request, b"", self.names, self.is_stopping, claim)
+        answer.respond(reason.value, "no room for the body", admission.RETRY_AFTER_MS)
+        return answer.done.result()
--- a/basaltport/proxy/head_timeout.py
+++ b/basaltport/proxy/head_timeout.py
@@ -12,9 +12,9 @@
 
 import basaltport.proxy.upstream_pool as upstream_pool
 
-AGAIN_S = 0.05
+RECHECK_S = 0.05
 """Seconds until the next look at a connection whose bytes lie unread when its time is over."""
-MS = 1000
+SECOND_MS = 1000
 
 
 class HeadTimeoutConnection(aiohttp.web.RequestHandler):
@@ -37,7 +37,7 @@
         elif awaits_head and self._head_timer is None and data.strip():
             wait_ms = self._server.header_wait_ms()
             if wait_ms > 0:
-                self._start_timer(wait_ms / MS)
+                self._start_timer(wait_ms / SECOND_MS)
 
     def connection_lost(self, error: BaseException | None) -> None:
         """The connection ended."""
@@ -57,8 +57,8 @@
         self._head_timer = None
         if self.transport is None:
             return
-        if upstream_pool.unread(self.transport):
-            self._start_timer(AGAIN_S)
+        if upstream_pool.has_unread(self.transport):
+            self._start_timer(RECHECK_S)
         else:
             self.force_close()
 
--- a/basaltport/proxy/header_names.py
+++ b/basaltport/proxy/header_names.py
@@ -2,12 +2,13 @@
 
 import dataclasses
 
-TOP = 10**8
-DIGITS = 11
+MOST = 10**8
+"""Larger numbers are not told apart."""
+MOST_DIGITS = 11
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Words:
+class HeaderNames:
     """`resume` and `prefix` as in docs/relay.md; `not_run` on an answer promises that nothing ran."""
 
     request_id: str = "Basaltport-Request"
@@ -24,8 +25,8 @@
     ready_path: str = "/ready"
 
 
-def number(raw: str | None, top: int = TOP) -> int:
+def number(raw: str | None, most: int = MOST) -> int:
     """A whole number of a header, or -1."""
-    if not raw or not raw.isascii() or not raw.isdigit() or len(raw) > DIGITS:
+    if not raw or not raw.isascii() or not raw.isdigit() or len(raw) > MOST_DIGITS:
         return -1
-    return min(int(raw), top)
+    return min(int(raw), most)
--- /dev/null
+++ b/basaltport/proxy/http_headers.py
@@ -0,0 +1,41 @@
+"""Headers that hold for one connection only, and what a head tells of its body's end."""
+
+import aiohttp
+import multidict
+
+HOP_BY_HOP = frozenset(
+    {
+        "connection",
+        "keep-alive",
+        "proxy-authenticate",
+        "proxy-authorization",
+        "proxy-connection",
+        "te",
+        "trailer",
+        "transfer-encoding",
+        "upgrade",
+        "content-length",
+        "expect",
+    }
+)
+"""Headers of a single connection (RFC 9110, section 7.6.1), and those that the library writes itself."""
+BODILESS = (204, 304)
+"""Statuses whose answers have no body."""
+
+
+def end_to_end(headers: multidict.CIMultiDictProxy[str]) -> multidict.CIMultiDict[str]:
+    """Headers but those of a single connection."""
+    dropped = set(HOP_BY_HOP)
+    for value in headers.getall("Connection", ()):
+        dropped.update(name.strip().lower() for name in value.split(","))
+    kept = ((name, value) for name, value in headers.items() if name.lower() not in dropped)
+    return multidict.CIMultiDict(kept)
+
+
+def states_its_end(response: aiohttp.ClientResponse) -> bool:
+    """Whether a head tells where its body ends. Where only the end of the connection does, a body that was
+    cut can't be told from a whole one."""
+    if response.method == "HEAD" or response.status in BODILESS:
+        return True
+    headers = response.headers
+    return "Content-Length" in headers or "chunked" in headers.get("Transfer-Encoding", "").lower()
--- a/basaltport/proxy/request_body.py
+++ b/basaltport/proxy/request_body.py
@@ -7,6 +7,7 @@
 
 import basaltport.proxy.memory_limit as memory_limit
 
+SECOND_MS = 1000
 LONGEST_MS = 60_000
 """How long a body may take whose client states no deadline."""
 
@@ -19,7 +20,7 @@
     TOO_SLOW = 408
 
 
-class RefusedError(Exception):
+class BodyRejectedError(Exception):
     """A body was not read; nothing was done with it."""
 
     def __init__(self, reason: Reason) -> None:
@@ -33,24 +34,24 @@
 ) -> bytes:
     """The whole body; `deadline_ms`: how long its client waits, or -1."""
     if (request.content_length or 0) > limit:
-        raise RefusedError(Reason.TOO_LARGE)
+        raise BodyRejectedError(Reason.TOO_LARGE)
     allowed_ms = deadline_ms if deadline_ms >= 0 else LONGEST_MS
     try:
-        async with asyncio.timeout(max(1, allowed_ms) / 1000):
-            return await pieces(request, limit, claim)
+        async with asyncio.timeout(max(1, allowed_ms) / SECOND_MS):
+            return await read_within(request, limit, claim)
     except TimeoutError:
-        raise RefusedError(Reason.TOO_SLOW)
+        raise BodyRejectedError(Reason.TOO_SLOW)
 
 
-async def pieces(request: aiohttp.web.BaseRequest, limit: int, claim: memory_limit.Claim) -> bytes:
-    """The body as it comes; RefusedError where it is too large or there is no room for it."""
-    out: list[bytes] = []
+async def read_within(request: aiohttp.web.BaseRequest, limit: int, claim: memory_limit.Claim) -> bytes:
+    """The body as it comes; BodyRejectedError where it is too large or there is no room for it."""
+    parts: list[bytes] = []
     size = 0
-    async for piece in request.content.iter_any():
-        size += len(piece)
+    async for part in request.content.iter_any():
+        size += len(part)
         if size > limit:
-            raise RefusedError(Reason.TOO_LARGE)
-        if not claim.add(len(piece)):
-            raise RefusedError(Reason.NO_ROOM)
-        out.append(piece)
-    return b"".join(out)
+            raise BodyRejectedError(Reason.TOO_LARGE)
+        if not claim.take(len(part)):
+            raise BodyRejectedError(Reason.NO_ROOM)
+        parts.append(part)
+    return b"".join(parts)
--- a/basaltport/proxy/response_delivery.py
+++ b/basaltport/proxy/response_delivery.py
@@ -5,7 +5,8 @@
 import aiohttp.web
 
 LEAST_MS = 1000
-MS = 1000
+"""A client has at least so long to take its answer."""
+SECOND_MS = 1000
 
 
 async def deliver(
@@ -13,7 +14,7 @@
 ) -> aiohttp.web.StreamResponse:
     """Waits until a client has taken its answer, until a while after it waits no more; then it is cut."""
     try:
-        async with asyncio.timeout(max(LEAST_MS, left_ms) / MS):
+        async with asyncio.timeout(max(LEAST_MS, left_ms) / SECOND_MS):
             await reply.prepare(request)
             await reply.write_eof()
     except TimeoutError:
--- a/basaltport/proxy/upstream_pool.py
+++ b/basaltport/proxy/upstream_pool.py
@@ -19,9 +19,9 @@
 Key = aiohttp.client_reqrep.ConnectionKey
 Trace = aiohttp.tracing.Trace
 
-UNSTATED_S = 4.0
+UNSTATED_KEEP_ALIVE_S = 4.0
 """For how long a connection rests whose replica does not tell its own limit."""
-SURELY_S = 0.65
+SURELY_ALIVE_S = 0.65
 """The same for what must not run again: limits are told in whole seconds; one not told may be under one."""
 MARGIN_S = 0.35
 """A connection is used for so much less than its replica keeps it."""
@@ -29,7 +29,7 @@
 READABLE = select.POLLIN | select.POLLPRI | select.POLLRDHUP
 
 
-def seconds(value: str | None) -> int | None:
+def keep_alive_s(value: str | None) -> int | None:
     """Seconds of a Keep-Alive header, or None."""
     if not value:
         return None
@@ -40,7 +40,7 @@
     return int(value) if value.strip().isdigit() else None
 
 
-def unread(transport: asyncio.BaseTransport) -> bool:
+def has_unread(transport: asyncio.BaseTransport) -> bool:
     """Whether bytes, an end or an error wait to be read from a transport's socket."""
     poll = select.poll()
     poll.register(transport.get_extra_info("socket").fileno(), READABLE)
@@ -50,25 +50,25 @@
 class Protocol(aiohttp.client_proto.ResponseHandler):
     """A connection's side of the library, with what its reuse depends on.
 
-    `released_s`: when its last answer ended, `keep_s`: for how long its replica then keeps it, if it said so,
-    `carried`: the id of the last request on it.
+    `released_at_s`: when its last answer ended, `keep_alive_s`: for how long its replica then keeps it, if
+    it said so, `last_request_id`: the id of the last request on it.
     """
 
-    released_s = 0.0
-    keep_s: int | None = None
-    carried: str | None = None
+    released_at_s = 0.0
+    keep_alive_s: int | None = None
+    last_request_id: str | None = None
 
 
-class Need:
-    """What an attempt asks of its connection. `request_id`: of its request; `once`: it must not run again.
-    `protocol`: the connection's, once it is there."""
+class ConnectionNeed:
+    """What an attempt asks of its connection. `request_id`: of its request; `runs_once`: it must not run
+    again. `protocol`: the connection's, once it is there."""
 
-    __slots__ = ("request_id", "once", "protocol")
+    __slots__ = ("request_id", "runs_once", "protocol")
 
-    def __init__(self, request_id: str | None, once: bool) -> None:
+    def __init__(self, request_id: str | None, runs_once: bool) -> None:
         """As of the class."""
         self.request_id = request_id
-        self.once = once
+        self.runs_once = runs_once
         self.protocol: Protocol | None = None
 
 
@@ -79,7 +79,7 @@
     def __init__(
         self,
         taken: collections.abc.Callable[[Request], None],
-        need_of: collections.abc.Callable[[Request], Need],
+        need_of: collections.abc.Callable[[Request], ConnectionNeed],
     ) -> None:
         """As of the class."""
         super().__init__(limit=0, socket_factory=sockets.factory, keepalive_timeout=LIBRARY_LIMIT_S)
@@ -87,8 +87,8 @@
         self._factory = typing.cast("functools.partial[aiohttp.client_proto.ResponseHandler]", factory)
         self.taken = taken
         self.need_of = need_of
-        self.need = Need(None, True)
-        self.made = 0
+        self.need = ConnectionNeed(None, True)
+        self.connections_made = 0
 
     async def connect(
         self, req: Request, traces: list[Trace], timeout: aiohttp.ClientTimeout
@@ -97,7 +97,7 @@
         self.need = need = self.need_of(req)
         connection = await super().connect(req, traces, timeout)
         need.protocol = protocol = typing.cast(Protocol, connection.protocol)
-        protocol.carried = need.request_id
+        protocol.last_request_id = need.request_id
         self.taken(req)
         return connection
 
@@ -108,23 +108,23 @@
             connection = await super()._get(key, traces)
             if connection is None:
                 return None
-            if quiet(typing.cast(Protocol, connection.protocol), need, now_s):
+            if is_quiet(typing.cast(Protocol, connection.protocol), need, now_s):
                 return connection
             connection.close()
         return None
 
-    def bring_forward(self, key: Key, need: Need, now_s: float) -> bool:
+    def bring_forward(self, key: Key, need: ConnectionNeed, now_s: float) -> bool:
         """Whether a kept connection may suit a need; if so, the library takes that one next. Others stay: the
         one that a first attempt went on, and those that are not surely alive, serve other requests."""
         kept = typing.cast("collections.deque[tuple[Protocol, float]]", self._conns.get(key))
         if not kept:
             return False
-        at = -1 if need.once else 0
-        if kept[at][0].carried == need.request_id:
+        at = -1 if need.runs_once else 0
+        if kept[at][0].last_request_id == need.request_id:
             if len(kept) == 1:
                 return False
-            at = -2 if need.once else 1
-        if need.once and now_s >= lives_until(kept[at][0], SURELY_S):
+            at = -2 if need.runs_once else 1
+        if need.runs_once and now_s >= alive_until_s(kept[at][0], SURELY_ALIVE_S):
             return False
         kept.rotate(-at)
         return True
@@ -132,28 +132,28 @@
     def _release(
         self, key: Key, protocol: aiohttp.client_proto.ResponseHandler, *, should_close: bool = False
     ) -> None:
-        typing.cast(Protocol, protocol).released_s = self._loop.time()
+        typing.cast(Protocol, protocol).released_at_s = self._loop.time()
         super()._release(key, protocol, should_close=should_close)
 
     async def _create_connection(
         self, req: Request, traces: list[Trace], timeout: aiohttp.ClientTimeout
     ) -> aiohttp.client_proto.ResponseHandler:
-        self.made += 1
+        self.connections_made += 1
         return await super()._create_connection(req, traces, timeout)
 
 
-def lives_until(protocol: Protocol, unstated_s: float) -> float:
+def alive_until_s(protocol: Protocol, unstated_s: float) -> float:
     """Until when a connection at rest is used; `unstated_s`: for how long if its replica does not tell."""
-    if protocol.keep_s is None:
-        return protocol.released_s + unstated_s
-    return protocol.released_s + protocol.keep_s - MARGIN_S
+    if protocol.keep_alive_s is None:
+        return protocol.released_at_s + unstated_s
+    return protocol.released_at_s + protocol.keep_alive_s - MARGIN_S
 
 
-def quiet(protocol: Protocol, need: Need, now_s: float) -> bool:
+def is_quiet(protocol: Protocol, need: ConnectionNeed, now_s: float) -> bool:
     """Whether a connection at rest may carry an attempt: it is not spent, nothing waits to be read from it,
     and no answer on it can be taken for another of the same request."""
-    if protocol.should_close or now_s >= lives_until(protocol, UNSTATED_S):
+    if protocol.should_close or now_s >= alive_until_s(protocol, UNSTATED_KEEP_ALIVE_S):
         return False
-    if protocol.carried == need.request_id or protocol.transport is None:
+    if protocol.last_request_id == need.request_id or protocol.transport is None:
         return False
-    return not unread(protocol.transport)
+    return not has_unread(protocol.transport)
--- a/basaltport/scale/part.py
+++ b/basaltport/scale/part.py
@@ -124,7 +124,7 @@
 class ProxyPart(Followers):
     def __init__(self, conf):
         self.mark = hollow.Marks()
-        self.shell = server.ProxyServer(conf["settings"], header_names.Words())
+        self.shell = server.ProxyServer(conf["settings"], header_names.HeaderNames())
         step = self.shell.wires.heard
 
         def heard(src, msg):
--- a/basaltport/sockets.py
+++ b/basaltport/sockets.py
@@ -27,3 +27,9 @@
     made.setblocking(False)
     bound(made)
     return made
+
+
+def host_and_port(address: str) -> tuple[str, int]:
+    """The parts of `host:port`."""
+    host, port = address.rsplit(":", 1)
+    return host, int(port)
--- a/tests/proxy_stand.py
+++ b/tests/proxy_stand.py
@@ -6,7 +6,7 @@
 import basaltport.proxy.server as server
 import basaltport.proxy.header_names as header_names
 
-W = header_names.Words()
+W = header_names.HeaderNames()
 BOUND = 20
 
 
@@ -157,9 +157,9 @@
         self.shell = server.ProxyServer(s, W)
         self.task = asyncio.get_running_loop().create_task(self.shell.run())
         async with asyncio.timeout(BOUND):
-            while not hasattr(self.shell, "prober"):
+            while not hasattr(self.shell, "probe_listener"):
                 await asyncio.sleep(0)
-        self.port = self.shell.listener.sockets[0].getsockname()[1]
+        self.port = self.shell.clients.listener.sockets[0].getsockname()[1]
         self.member = self.shell.member
         self.member.budgets.started_at = identifiers.Millis(-60_000)
         fill(self.member, [r.row() for r in self.replicas], self.doc)
--- a/tests/slow_stand.py
+++ b/tests/slow_stand.py
@@ -118,7 +118,7 @@
     ended = await asyncio.gather(*asks)
     _, peak = tracemalloc.get_traced_memory()
     await asyncio.sleep(1)
-    open_connections = len(front.shell.server.connections)
+    open_connections = len(front.shell.clients.server.connections)
     arrived = sum(len(r.seen) for r in front.replicas)
     for r in front.replicas:
         r.seen.clear()
--- a/tests/test_fleet_cli.py
+++ b/tests/test_fleet_cli.py
@@ -192,7 +192,7 @@
 def test_a_proxy_s_pages_stand_beside_its_readiness():
     async def run():
         async with stand.Front([]) as f:
-            address = f.shell.prober.sockets[0].getsockname()
+            address = f.shell.probe_listener.sockets[0].getsockname()
             out = []
             for path in ("/basaltport/status", "/ready", "/basaltport/metrics", "/basaltport/explain?path=x"):
                 r, w = await asyncio.open_connection(*address)
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -330,9 +330,9 @@
 def test_events_are_passed_on_whole_however_bytes_come():
     raw = b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\ndata: c\n\n"
     for n in range(1, len(raw)):
-        p = response_stream.Pieces()
+        p = response_stream.EventStream()
         out = b"".join(p.take(raw[i : i + n]) for i in range(0, len(raw), n))
-        assert out + p.rest == raw and p.last == "3", n
+        assert out + p.incomplete == raw and p.last_id == "3", n
 
 
 def test_rows_and_configuration_that_come_at_once_are_taken_together():
--- a/tests/test_proxy_clients.py
+++ b/tests/test_proxy_clients.py
@@ -20,7 +20,7 @@
     r, w = await f.open()
     w.write(f.text("/safe/x"))
     assert b"written" in await r.readuntil(b"written")
-    (side,) = f.shell.server.connections
+    (side,) = f.shell.clients.server.connections
     while side._waiter is None:
         await asyncio.sleep(0)
     return r, w, side
@@ -38,7 +38,7 @@
 async def configure(f, idle_close_ms):
     f.doc = {**f.doc, "limits": {"body_bytes": 1000, "idle_close_ms": idle_close_ms}}
     stand.fill(f.member, [r.row() for r in f.replicas], f.doc)
-    f.shell.end_rested()
+    f.shell.clients.end_rested()
 
 
 @pytest.mark.parametrize(
@@ -61,7 +61,7 @@
             for ms in limits:
                 await configure(f, ms)
             aged(side, seconds)
-            f.shell.end_rested()
+            f.shell.clients.end_rested()
             got = closed(side)
             w.close()
             return got
@@ -84,12 +84,15 @@
     async def go():
         async with stand.Front([stand.Replica("i-1", wire.ok)]) as f:
             with socket.create_connection(("127.0.0.1", f.port)) as s:
-                while not f.shell.server.connections or f.shell.server.connections[0]._waiter is None:
+                while (
+                    not f.shell.clients.server.connections
+                    or f.shell.clients.server.connections[0]._waiter is None
+                ):
                     await asyncio.sleep(0)
-                (side,) = f.shell.server.connections
+                (side,) = f.shell.clients.server.connections
                 aged(side, 10_000)
                 s.sendall(f.text("/once/x", Connection="close"))
-                getattr(f.shell, ending)()
+                getattr(f.shell.clients, ending)()
                 s.setblocking(False)
                 got = b""
                 while part := await asyncio.get_running_loop().sock_recv(s, 65_536):
@@ -105,10 +108,10 @@
             r, w = await f.open()
             raw = f.text("/once/x", body=b"x" * 500)
             w.write(raw[:-100])
-            while not f.shell.server.requests_count:
+            while not f.shell.clients.server.requests_count:
                 await asyncio.sleep(0)
-            f.shell.stopping = True
-            assert f.shell.close_idle() == 1
+            f.shell.is_stopping = True
+            assert f.shell.clients.close_idle() == 1
             w.write(raw[-100:])
             got = await r.read()
             return got, f.replicas[0].seen[0][2]
--- a/tests/test_proxy_connections.py
+++ b/tests/test_proxy_connections.py
@@ -23,21 +23,21 @@
     """What an attempt needs of a request."""
 
     method, path, body = "POST", "/once/x", b"hello"
-    streams = begun = False
+    is_streamed = is_begun = False
 
     def __init__(self, request_id):
         self.request_id = request_id
-        self.claim = memory_limit.Claim(memory_limit.Room(memory_limit.MIB))
-        self.heads = {W.request_id: request_id} if request_id else {}
+        self.claim = memory_limit.Claim(memory_limit.MemoryLimit(memory_limit.MIB))
+        self.headers = {W.request_id: request_id} if request_id else {}
 
     def resume(self):
         return ""
 
-    def keep(self, attempt, status, heads, raw):
+    def keep_failure(self, attempt, status, headers, body):
         pass
 
-    async def whole(self, status, heads, raw):
-        self.got = raw
+    async def send_whole(self, status, headers, body):
+        self.got = body
 
 
 class Direct:
@@ -76,7 +76,7 @@
         """As if all kept connections had been released so long ago."""
         for kept in self.upstream.connector._conns.values():
             for protocol, _ in kept:
-                protocol.released_s -= seconds
+                protocol.released_at_s -= seconds
 
     def socket(self):
         return self.writers[-1].transport.get_extra_info("socket")
@@ -190,7 +190,7 @@
         async with Direct() as d:
             await asyncio.gather(d.go(), d.go())
             (kept,) = d.upstream.connector._conns.values()
-            kept[0][0].released_s -= 3
+            kept[0][0].released_at_s -= 3
             newest = kept[1][0]
             await d.go(False)
             return kept[-1][0] is newest, d.replica.connections
--- a/tests/test_proxy_faults.py
+++ b/tests/test_proxy_faults.py
@@ -22,7 +22,7 @@
     async def go():
         async with stand.Front([stand.Replica("i-1", wire.ok)]) as f:
             shell = f.shell
-            shell.sinks[99] = types.SimpleNamespace(pieces=True)
+            shell.clients.responses[99] = types.SimpleNamespace(has_route=lambda: True)
             now = identifiers.steady()
             shell.step(events.Arrived(now, 99, "desk.example", "/once/x", identifiers.Item("birch"), 2000))
             assert len(f.member.attempts.in_flight) == 1
@@ -34,7 +34,7 @@
                 len(f.member.attempts.in_flight),
                 health.running_attempts,
                 health.failures,
-                len(shell.tasks),
+                len(shell.attempts.tasks),
             )
 
     assert run(go()) == (0, 0, 0, 0)
@@ -45,7 +45,7 @@
     async def fault(self, status, heads):
         raise KeyError("fault")
 
-    monkeypatch.setattr(response.Sink, "end", fault)
+    monkeypatch.setattr(response.ClientResponse, "send_end", fault)
 
     async def go():
         async with stand.Front([stand.Replica("i-1", wire.stream(2))]) as f:
--- a/tests/test_proxy_memory.py
+++ b/tests/test_proxy_memory.py
@@ -8,30 +8,30 @@
 
 
 def test_a_claim_takes_no_more_than_there_is_and_gives_all_back():
-    room = memory_limit.Room(10)
+    room = memory_limit.MemoryLimit(10)
     one, two = memory_limit.Claim(room), memory_limit.Claim(room)
-    assert one.add(6) and not two.add(5) and two.add(4) and not one.add(1)
-    one.free()
-    assert room.held == 4 and two.add(6)
-    two.free()
-    two.free()
+    assert one.take(6) and not two.take(5) and two.take(4) and not one.take(1)
+    one.release_all()
+    assert room.held == 4 and two.take(6)
+    two.release_all()
+    two.release_all()
     assert room.held == 0
 
 
 def test_who_waits_longest_is_served_first_and_a_small_one_does_not_pass_a_large_one():
     async def go():
-        room = memory_limit.Room(10)
+        room = memory_limit.MemoryLimit(10)
         room.take(8)
         order = []
 
         async def wait(name, size):
-            await room.wait(size)
+            await room.wait_for(size)
             order.append(name)
 
         tasks = [asyncio.create_task(wait("large", 6)), asyncio.create_task(wait("small", 1))]
         await asyncio.sleep(0)
         assert order == []
-        room.give(8)
+        room.release(8)
         await asyncio.gather(*tasks)
         return order, room.held
 
@@ -41,16 +41,16 @@
 @pytest.mark.parametrize("granted", [False, True])
 def test_who_stops_waiting_keeps_nothing(granted):
     async def go():
-        room = memory_limit.Room(10)
+        room = memory_limit.MemoryLimit(10)
         room.take(10)
-        task = asyncio.create_task(room.wait(5))
+        task = asyncio.create_task(room.wait_for(5))
         await asyncio.sleep(0)
         if granted:
-            room.give(10)
+            room.release(10)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
         if not granted:
-            room.give(10)
+            room.release(10)
         return room.held
 
     assert asyncio.run(go()) == 0
@@ -58,7 +58,10 @@
 
 def test_a_room_is_a_part_of_the_machine_s_memory():
     assert (
-        memory_limit.room_of({"limits": {"memory_mb": 160}}).bound
+        memory_limit.from_settings({"limits": {"memory_mb": 160}}).limit
         == 160 * memory_limit.MIB // memory_limit.SHARE
     )
-    assert memory_limit.room_of({}).bound == memory_limit.ASSUMED_MB * memory_limit.MIB // memory_limit.SHARE
+    assert (
+        memory_limit.from_settings({}).limit
+        == memory_limit.ASSUMED_MB * memory_limit.MIB // memory_limit.SHARE
+    )
--- a/tests/test_proxy_wire.py
+++ b/tests/test_proxy_wire.py
@@ -280,7 +280,7 @@
             while not f.replicas[0].seen:
                 await asyncio.sleep(0)
             f.shell.end.set()
-            while not f.shell.stopping:
+            while not f.shell.is_stopping:
                 await asyncio.sleep(0)
             two = asyncio.create_task(f.ask("/once/y", **{"Connection": "keep-alive"}))
             while len(f.replicas[0].seen) < 2:
@@ -342,7 +342,7 @@
 
 
 def test_an_answer_that_is_too_long_is_no_answer(monkeypatch):
-    monkeypatch.setattr(upstream, "WHOLE", 5)
+    monkeypatch.setattr(upstream, "LONGEST_WHOLE_BYTES", 5)
 
     async def go(path):
         async with stand.Front([stand.Replica("i-1", ok), stand.Replica("i-2", ok, zone="z2")]) as f:
@@ -368,10 +368,10 @@
             while not f.replicas[0].seen:
                 await asyncio.sleep(0)
             f.shell.reload = lambda: ["127.0.0.1:9"]
-            f.shell.hup()
+            f.shell.reload_settings()
             doc = {**f.doc, "limits": {"body_bytes": 100, "idle_close_ms": 1}}
             stand.fill(f.member, [r.row() for r in f.replicas], doc)
-            f.shell.end_rested()
+            f.shell.clients.end_rested()
             gate.set()
             return await one, await f.ask("/once/x", body=b"x" * 900), f.member.me.seeds
 
--- a/tests/test_request_bytes_mutations.py
+++ b/tests/test_request_bytes_mutations.py
@@ -22,15 +22,15 @@
 End = request_stand.End
 Kind = request_stand.Kind
 
-_answer = upstream.Upstream.answer
+_answer = upstream.Upstream.take_answer
 _run = upstream.Upstream.run
-_stream = upstream.Upstream.stream
-_init = response.Sink.__init__
-_whole = response.Sink.whole
+_stream = upstream.Upstream.pass_stream
+_init = response.ClientResponse.__init__
+_whole = response.ClientResponse.send_whole
 
 
 async def _trust_any_id(self, e, sink, r, progress):
-    sink.request_id = r.headers.get(self.words.request_id)
+    sink.request_id = r.headers.get(self.names.request_id)
     return await _answer(self, e, sink, r, progress)
 
 
@@ -48,7 +48,7 @@
     try:
         return await _stream(self, e, sink, r, progress)
     except aiohttp.ClientError:
-        await sink.end(r.status, r.headers)
+        await sink.send_end(r.status, r.headers)
         return attempt_outcome.Result(attempt_outcome.Outcome.DONE, r.status)
 
 
@@ -61,8 +61,8 @@
 
 
 def _give_as_our_own(self, attempt):
-    kept = self.kept[attempt]
-    self.set(self.made(502, kept.heads, kept.raw))
+    kept = self.failures[attempt]
+    self.finish(self.build(502, kept.headers, kept.body))
 
 
 def _shorten_bodies(self, request, body, *rest):
@@ -75,17 +75,17 @@
 
 
 def _keep_the_rest(self):
-    return self.pieces.resume() if self.begun else ""
+    return self.events.resume() if self.is_begun else ""
 
 
 def _resume_one_too_late(self):
-    self.pieces.resume()
-    self.pieces.expect = None
-    return str(int(self.pieces.last) + 1) if self.pieces.last else ""
+    self.events.resume()
+    self.events.expected_id = None
+    return str(int(self.events.last_id) + 1) if self.events.last_id else ""
 
 
 UPSTREAM = upstream.Upstream
-SINK = response.Sink
+SINK = response.ClientResponse
 SWEEPS = {
     "kinds of answers": lambda: request_sweeps.identifiers("safe"),
     "kinds of answers, once": lambda: request_sweeps.identifiers("once"),
@@ -99,20 +99,20 @@
     "at rest": lambda: request_sweeps.at_rest("safe"),
 }
 CASES = [
-    (Check.OWN, "kinds of answers", [(UPSTREAM, "answer", _trust_any_id)]),
-    (Check.OWN, "answers cut", [(UPSTREAM, "whole", _complete_what_was_cut)]),
-    (Check.ORDER, "streams cut", [(UPSTREAM, "stream", _end_what_was_cut)]),
+    (Check.OWN, "kinds of answers", [(UPSTREAM, "take_answer", _trust_any_id)]),
+    (Check.OWN, "answers cut", [(UPSTREAM, "read_whole", _complete_what_was_cut)]),
+    (Check.ORDER, "streams cut", [(UPSTREAM, "pass_stream", _end_what_was_cut)]),
     (Check.ORDER, "streams resumed", [(SINK, "resume", _keep_the_rest)]),
     (Check.ORDER, "streams resumed", [(SINK, "resume", _resume_one_too_late)]),
-    (Check.ONCE, "answers reset", [(UPSTREAM, "sent", lambda self, attempt: False)]),
+    (Check.ONCE, "answers reset", [(UPSTREAM, "was_sent", lambda self, attempt: False)]),
     (Check.ONCE, "kinds of answers, once", [(retry_decision, "proven_safe", lambda known: True)]),
     (Check.PROMISE, "answers cut", [(retry_decision, "give_up", _always_refuse)]),
     (Check.PROMISE, "kinds of answers, once", [(retry_decision, "passable", lambda known: True)]),
-    (Check.STAMP, "kinds of answers, once", [(SINK, "give", _give_as_our_own)]),
+    (Check.STAMP, "kinds of answers, once", [(SINK, "pass_failure", _give_as_our_own)]),
     (Check.TRIES, "kinds of answers", [(request.Request, "may_reach_another", lambda self: True)]),
     (Check.HELD, "silence", [(UPSTREAM, "run", _ten_times_the_time)]),
     (Check.UNASKED, "kinds of answers", [(SINK, "__init__", _shorten_bodies)]),
-    (Check.STRAY, "kinds of answers", [(SINK, "whole", _late_bytes)]),
+    (Check.STRAY, "kinds of answers", [(SINK, "send_whole", _late_bytes)]),
 ]
 
 
@@ -135,7 +135,7 @@
 def test_reuse_without_a_look_at_what_came_at_rest_is_found(monkeypatch):
     """The ids would hide it, so they are trusted here; alone that does no harm."""
     cases = request_sweeps.late_extras()
-    monkeypatch.setattr(UPSTREAM, "answer", _trust_any_id)
+    monkeypatch.setattr(UPSTREAM, "take_answer", _trust_any_id)
     assert request_checks.judge(request_cases.play(cases)) == []
     monkeypatch.setattr(upstream_pool.Connector, "_get", aiohttp.TCPConnector._get)
     assert Check.OWN in {f.check for f in request_checks.judge(request_cases.play(cases))}
--- a/tests/test_request_rules.py
+++ b/tests/test_request_rules.py
@@ -129,9 +129,9 @@
 def test_on_stop_a_proxy_is_not_ready_at_once_and_still_serves():
     async def go():
         async with stand.Front([stand.Replica("i-1", wire.ok)], timings={"grace_s": 4}) as proxy:
-            port = proxy.shell.prober.sockets[0].getsockname()[1]
+            port = proxy.shell.probe_listener.sockets[0].getsockname()[1]
             before = await ready(port)
-            proxy.shell.stopping = True
+            proxy.shell.is_stopping = True
             proxy.shell.step(events.Stop(identifiers.steady()))
             after = await ready(port), await ready(port)
             status, _, _ = await proxy.ask("/safe/x")
