--- a/basaltport/simulation/query_api/standins/backend.py
+++ b/basaltport/simulation/query_api/standins/backend.py
@@ -48,7 +48,7 @@
             r.past.append(r.logic)
         r.incarnation += 1
         r.mode = "up"
-        epoch = f"{rid}-{r.life}"
+        epoch = f"{rid}-{r.incarnation}"
         r.logic = replica.Replica(rid, r.conf["room"], r.conf["slots"], epoch, self.now)
         self.log("replica-start", replica=rid)
 
--- a/basaltport/simulation/routes/clients.py
+++ b/basaltport/simulation/routes/clients.py
@@ -43,7 +43,7 @@
     `until`: when the client gives up; `tries`: how many were sent; `over`: what came of it; `pieces`: parts
     of a stream that need not be sent again."""
 
-    __slots__ = "id kind item zone born until service tries over pieces".split()
+    __slots__ = ("id", "kind", "item", "zone", "born", "until", "service", "tries", "over", "pieces")
 
     def __init__(
         self, operation_id: str, kind: str, item: str, zone: str, born: int, ms: int, service: str
@@ -57,7 +57,7 @@
 class Try:
     """One request to one proxy. `read`: the proxy has read it; `over`: how it ended."""
 
-    __slots__ = "id operation node life request attempts over pieces read".split()
+    __slots__ = ("id", "operation", "node", "incarnation", "request", "attempts", "over", "pieces", "read")
 
     def __init__(self, try_id: str, operation: Operation, node: nodes.Node) -> None:
         """It is about to be sent."""
@@ -113,9 +113,9 @@
     def start_operation(self, kind: str, item: str, zone: str, service: str = "s") -> Operation:
         """A client in a zone wants something now."""
         self.last_operation += 1
-        ms = STREAM_MS if kind in attempts.STREAMS else REQUEST_MS
+        patience = STREAM_MS if kind in attempts.STREAMS else REQUEST_MS
         operation_id = f"o{self.last_operation}"
-        operation = Operation(operation_id, kind, item, zone, self.now, ms, service)
+        operation = Operation(operation_id, kind, item, zone, self.now, patience, service)
         self.record(request_rows.Operation, operation.id, kind, item, service)
         self.send_try(operation)
         return operation
--- a/basaltport/simulation/routes/process_rows.py
+++ b/basaltport/simulation/routes/process_rows.py
@@ -7,7 +7,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Boot(trace.Row):
-    """A process started; `life` tells its processes apart."""
+    """A process started; `incarnation` tells its processes apart."""
 
     KIND = "boot"
     node: str
@@ -84,7 +84,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Settled(trace.Row):
+class CoreInTouch(trace.Row):
     """Most controllers reach each other and have done so for a while, or no longer."""
 
     KIND = "settled"
