--- a/basaltport/admin/desk.py
+++ b/basaltport/admin/desk.py
@@ -4,6 +4,7 @@
 import basaltport.configuration.patch as patch
 import basaltport.events as events
 import basaltport.consensus.book as book
+import basaltport.consensus.codec as codec
 import basaltport.log_events as log_events
 import basaltport.messages as messages
 
@@ -224,7 +225,7 @@
         return 200, {"serial": b["mserial"], "manifest": b["manifest"]}
 
     def read_history(self, b, q):
-        return 200, {"history": b["history"]}
+        return 200, {"history": [codec.encode_history_record(row) for row in b.history]}
 
     def read_change(self, b, q):
         c = q.get("change")
--- a/basaltport/consensus/campaign.py
+++ b/basaltport/consensus/campaign.py
@@ -1,6 +1,7 @@
 """The way to lead where those with disks alone vote: promises are asked for only once most hear no leader."""
 
 import basaltport.consensus.elect as elect
+import basaltport.consensus.log as log
 import basaltport.consensus.quorum as quorum
 import basaltport.consensus.timing as timing
 import basaltport.events as events
@@ -151,7 +152,7 @@
         self.promised = gen
         got = {self.me.seat: self.promise(gen, True)}
         self.camp = {"gen": gen, "got": got, "at": self.now, "asked": self.now, "fetched": -(10**9)}
-        self.write([{"promise": list(gen)}], then=self.asks())
+        self.write([log.TermRecord(gen)], then=self.asks())
         self.note(11, generation=gen.text())
 
     def weigh(self):
@@ -178,10 +179,9 @@
             self.win(swap=swap)
 
     def hear_copy(self, src, m):
-        t = (m.copy.get("tail") or [None])[-1]
-        b = m.copy["book"]
-        g, s = (t["g"], t["s"]) if t else (b["gen"], b["serial"])
-        if (identifiers.Term(*g), s) > self.head():
+        last = m.copy.uncommitted[-1] if m.copy.uncommitted else None
+        state = m.copy.cluster_state
+        if ((last.term, last.index) if last else (state.term, state.log_index)) > self.head():
             super().hear_copy(src, m)
 
     def attested(self, got):
--- /dev/null
+++ b/basaltport/consensus/codec.py
@@ -0,0 +1,379 @@
+"""The stored and sent form of the log and of the state: JSON documents with the keys that every release
+knows.
+
+This module alone knows those keys. Documents come out in one order of keys, so that the same state has the
+same bytes. Keys that are not known here are of a newer release: they are kept as `unknown` and written
+behind the others. Large configurations are never copied: documents hold the very objects of the state, and
+`text` makes the text of each once.
+"""
+
+import collections.abc
+import hashlib
+import json
+import operator
+import typing
+
+import basaltport.consensus.log as log
+import basaltport.consensus.state_machine as state_machine
+import basaltport.errors as errors
+import basaltport.identifiers as identifiers
+
+Document = dict[str, typing.Any]
+Decoder = collections.abc.Callable[[typing.Any], typing.Any]
+R = typing.TypeVar("R")
+
+TERM_RECORD = "promise"
+ENTRY_RECORD = "entry"
+BATCH = "batch"
+DIGEST_CHARACTERS = 16
+
+_MALFORMED = (KeyError, TypeError, ValueError, AttributeError, IndexError)
+
+
+class _Field(typing.NamedTuple):
+    """A key of a document, the attribute it stands for, and how its value is written and read. `is_absent`
+    tells of a value whether the key is left out for it."""
+
+    key: str
+    name: str
+    encode: Decoder | None = None
+    decode: Decoder | None = None
+    is_absent: collections.abc.Callable[[typing.Any], bool] | None = None
+
+
+class _Form(typing.Generic[R]):
+    """The document of a record: its fields in the order in which they are written."""
+
+    def __init__(self, record: type[R], *fields: _Field) -> None:
+        self.record = record
+        self.fields = fields
+        self.keys = frozenset(field.key for field in fields)
+
+    def encode(self, record: typing.Any) -> Document:
+        """The document of a record."""
+        document: Document = {}
+        for key, name, encode, _, is_absent in self.fields:
+            value = getattr(record, name)
+            if is_absent is not None and is_absent(value):
+                continue
+            document[key] = value if encode is None or value is None else encode(value)
+        if record.unknown:
+            document.update(record.unknown)
+        return document
+
+    def decode(self, document: Document) -> R:
+        """The record of a document; fields that are not there have their defaults."""
+        values = {}
+        for key, name, _, decode, _ in self.fields:
+            if key in document:
+                value = document[key]
+                values[name] = value if decode is None or value is None else decode(value)
+        if len(document) > len(values):
+            unknown = tuple((k, v) for k, v in document.items() if k not in self.keys)
+            return self.record(**values, unknown=unknown)
+        return self.record(**values)
+
+
+def _is_none(value: object) -> bool:
+    return value is None
+
+
+def _each(function: Decoder) -> Decoder:
+    """A function of a mapping's values as one of the mapping."""
+    return lambda mapping: {key: function(value) for key, value in mapping.items()}
+
+
+def _list_of(function: Decoder) -> Decoder:
+    return lambda values: [function(value) for value in values]
+
+
+def _tuple_of(function: Decoder) -> Decoder:
+    return lambda values: tuple([function(value) for value in values])
+
+
+def _term(pair: collections.abc.Sequence[typing.Any]) -> identifiers.Term:
+    count, name = pair
+    return identifiers.Term(count, name)
+
+
+# members, replicas, owners
+
+_MEMBER = _Form(
+    log.MemberRecord,
+    _Field("name", "name"),
+    _Field("seat", "member_id"),
+    _Field("role", "role"),
+    _Field("zone", "zone"),
+    _Field("addr", "address"),
+    _Field("http", "http_address"),
+)
+_REPLICA = _Form(log.ListedReplica, _Field("url", "url"), _Field("zone", "zone"), _Field("group", "group"))
+_ROLE_OWNER = _Form(
+    state_machine.RoleOwner,
+    _Field("owner", "owner"),
+    _Field("fence", "fence"),
+    _Field("first", "first"),
+    _Field("new", "is_new"),
+)
+_SHARD = _Form(
+    state_machine.Shard,
+    _Field("owner", "owner"),
+    _Field("fence", "fence"),
+    _Field("was", "former_owner"),
+)
+_HISTORY = _Form(
+    state_machine.HistoryRecord,
+    _Field("serial", "log_index"),
+    _Field("op", "operation"),
+    _Field("change", "change_id"),
+)
+
+
+def _encode_holder(holder: state_machine.KeyHolder) -> list[typing.Any]:
+    return [holder.joined, holder.predecessors]
+
+
+def _decode_holder(pair: collections.abc.Sequence[typing.Any]) -> state_machine.KeyHolder:
+    joined, predecessors = pair
+    return state_machine.KeyHolder(joined, predecessors)
+
+
+_KEY_RANGE = _Form(
+    state_machine.KeyRange,
+    _Field("at", "since"),
+    _Field("seats", "holders", _each(_encode_holder), _each(_decode_holder)),
+)
+
+encode_member = _MEMBER.encode
+decode_member = _MEMBER.decode
+encode_history_record = _HISTORY.encode
+
+
+def _encode_replacement(replacement: log.Replacement) -> list[typing.Any]:
+    return [replacement.former_id, encode_member(replacement.member)]
+
+
+def _decode_replacement(pair: collections.abc.Sequence[typing.Any]) -> log.Replacement:
+    former_id, member = pair
+    return log.Replacement(former_id, decode_member(member))
+
+
+_MEMBERS = (_each(encode_member), _each(decode_member))
+_REPLACEMENTS = (_list_of(_encode_replacement), _tuple_of(_decode_replacement))
+_NAMES = (list, tuple)
+
+# operations; the key "op" is written first, "change" behind an operation's own
+
+_CHANGE = _Field("change", "change_id", is_absent=_is_none)
+
+
+def _operation(record: type[log.Operation], *fields: _Field) -> _Form[log.Operation]:
+    return _Form(record, _Field("op", "kind"), *fields, _CHANGE)
+
+
+_OPERATIONS: dict[str, _Form[log.Operation]] = {
+    form.record.KIND: form
+    for form in (
+        _operation(
+            log.ClusterFounded,
+            _Field("roster", "members", *_MEMBERS),
+            _Field("ledgers", "disk_members", *_NAMES),
+            _Field("voters", "voting", is_absent=_is_none),
+            _Field("keep", "kept_changes", is_absent=_is_none),
+        ),
+        _operation(
+            log.TermBegun,
+            _Field("swap", "replacements", *_REPLACEMENTS),
+            _Field("drops", "removed", *_NAMES),
+            _Field("ledgers", "disk_members", *_NAMES, is_absent=_is_none),
+        ),
+        _operation(
+            log.MembersChanged,
+            _Field("swap", "replacements", *_REPLACEMENTS),
+            _Field("add", "added", encode_member, decode_member),
+            _Field("drops", "removed", *_NAMES, is_absent=operator.not_),
+        ),
+        _operation(
+            log.JointChangeBegun,
+            _Field("drops", "removed", *_NAMES),
+            _Field("adds", "added", _list_of(encode_member), _tuple_of(decode_member)),
+        ),
+        _operation(log.JointChangeCompleted),
+        _operation(log.DiskMembersSet, _Field("ledgers", "disk_members", *_NAMES)),
+        _operation(log.ConfigurationPut, _Field("manifest", "configuration")),
+        _operation(log.ConfigurationMerged, _Field("patch", "patch")),
+        _operation(log.ItemsPatched, _Field("patch", "patch")),
+        _operation(log.ZoneEvacuated, _Field("zone", "zone")),
+        _operation(log.EvacuationWithdrawn, _Field("zone", "zone")),
+        _operation(log.ReplicaLeaving, _Field("replica", "replica")),
+        _operation(
+            log.ReplicasListed,
+            _Field("replicas", "replicas", _each(_REPLICA.encode), _each(_REPLICA.decode)),
+        ),
+        _operation(
+            log.RolesAssigned,
+            _Field("owners", "owners"),
+            _Field("fresh", "after_restart", is_absent=operator.not_),
+        ),
+        _operation(
+            log.ShardsAssigned,
+            _Field("give", "owners", is_absent=operator.not_),
+            _Field("ripe", "settled", *_NAMES, is_absent=operator.not_),
+        ),
+    )
+}
+
+
+def encode_operation(operation: log.Operation) -> Document:
+    """The document of an operation."""
+    if isinstance(operation, log.UnknownOperation):
+        return {"op": operation.kind, **dict(operation.fields)}
+    document = _OPERATIONS[operation.KIND].encode(operation)
+    if isinstance(operation, log.MembersChanged) and operation.replacements is None:
+        del document["swap"]
+        if operation.added is None:
+            del document["add"]
+    return document
+
+
+def decode_operation(document: Document) -> log.Operation:
+    """The operation of a document."""
+    form = _OPERATIONS.get(document["op"])
+    fields = {key: value for key, value in document.items() if key != "op"}
+    if form is None:
+        return log.UnknownOperation(document["op"], tuple(fields.items()))
+    return form.decode(fields)
+
+
+# entries, records
+
+
+def encode_entry(entry: log.LogEntry) -> Document:
+    """The document of an entry."""
+    operation = encode_operation(entry.operation)
+    document = {"s": int(entry.index), "g": [entry.term.count, entry.term.name], "op": operation}
+    if entry.unknown:
+        document.update(entry.unknown)
+    return document
+
+
+def decode_entry(document: Document) -> log.LogEntry:
+    """The entry of a document; StoredFormError where it is none."""
+    try:
+        index, term = identifiers.LogIndex(document["s"]), _term(document["g"])
+        unknown = tuple((k, v) for k, v in document.items() if k not in ("s", "g", "op"))
+        return log.LogEntry(index, term, decode_operation(document["op"]), unknown)
+    except _MALFORMED as error:
+        raise errors.StoredFormError(f"no entry of a log: {type(error).__name__}: {error}") from error
+
+
+def encode_entries(entries: collections.abc.Iterable[log.LogEntry]) -> list[Document]:
+    """The documents of entries."""
+    return [encode_entry(entry) for entry in entries]
+
+
+def decode_entries(documents: collections.abc.Iterable[Document]) -> list[log.LogEntry]:
+    """The entries of documents."""
+    return [decode_entry(document) for document in documents]
+
+
+def encode_record(record: log.DiskRecord) -> Document:
+    """The document of a record of a member's disk."""
+    if isinstance(record, log.TermRecord):
+        return {TERM_RECORD: list(record.term)}
+    return {ENTRY_RECORD: encode_entry(record.entry)}
+
+
+def decode_record(document: Document) -> log.DiskRecord:
+    """The record of a document; StoredFormError where it is none."""
+    if TERM_RECORD in document:
+        return log.TermRecord(_term(document[TERM_RECORD]))
+    if ENTRY_RECORD in document:
+        return log.EntryRecord(decode_entry(document[ENTRY_RECORD]))
+    raise errors.StoredFormError(f"no record of a disk: it has the keys {sorted(document)}")
+
+
+# the state
+
+_INDEX = (int, identifiers.LogIndex)
+_FEED_KEYS = ("serial", "gen", "mserial", "manifest", "drains", "roster", "voters", "slices")
+_STATE = _Form(
+    state_machine.ClusterState,
+    _Field("serial", "log_index", *_INDEX),
+    _Field("gen", "term", list, _term),
+    _Field("mserial", "configuration_version", *_INDEX),
+    _Field("manifest", "configuration"),
+    _Field("changes", "recent_changes"),
+    _Field("roster", "members", *_MEMBERS),
+    _Field("ledgers", "disk_members", *_NAMES),
+    _Field("drains", "evacuated_zones"),
+    _Field("leaving", "leaving_replicas"),
+    _Field("platform", "listed_replicas", _each(_REPLICA.encode), _each(_REPLICA.decode)),
+    _Field("duties", "role_owners", _each(_ROLE_OWNER.encode), _each(_ROLE_OWNER.decode)),
+    _Field("history", "history", _list_of(_HISTORY.encode), _tuple_of(_HISTORY.decode)),
+    _Field("keepers", "key_holders", _each(_KEY_RANGE.encode), _each(_KEY_RANGE.decode)),
+    _Field("voters", "voting", is_absent=_is_none),
+    _Field("keep", "kept_changes", is_absent=_is_none),
+    _Field("slices", "shards", _each(_SHARD.encode), _each(_SHARD.decode), is_absent=operator.not_),
+    _Field("former", "former_members", *_MEMBERS, is_absent=_is_none),
+)
+_STATE_FIELDS = {field.key: field for field in _STATE.fields}
+_FEED_STATE = _Form(state_machine.ClusterState, *(_STATE_FIELDS[key] for key in _FEED_KEYS))
+
+encode_state = _STATE.encode
+
+
+def decode_state(document: Document) -> state_machine.ClusterState:
+    """The state of a document; StoredFormError where it is none."""
+    try:
+        return _STATE.decode(document)
+    except _MALFORMED as error:
+        raise errors.StoredFormError(f"no state of a cluster: {type(error).__name__}: {error}") from error
+
+
+def encode_copy(copy: state_machine.ReplicatedState | None) -> Document:
+    """The document of what a member holds; an empty one for None."""
+    if copy is None:
+        return {}
+    return {"book": encode_state(copy.cluster_state), "tail": encode_entries(copy.uncommitted)}
+
+
+def decode_copy(document: Document) -> state_machine.ReplicatedState | None:
+    """What a member holds, or None for an empty document."""
+    if not document:
+        return None
+    if "book" not in document or "tail" not in document:
+        raise errors.StoredFormError(f"no copy of a member's state: it has the keys {sorted(document)}")
+    entries = tuple(decode_entries(document["tail"]))
+    return state_machine.ReplicatedState(decode_state(document["book"]), entries)
+
+
+def encode_feed_state(state: state_machine.ClusterState | None) -> Document:
+    """The document of the part of the state that proxies need; an empty one for None."""
+    return {} if state is None else _FEED_STATE.encode(state)
+
+
+def decode_feed_state(document: Document) -> state_machine.ClusterState | None:
+    """The part of the state that proxies need, or None for an empty document."""
+    return decode_state(document) if document else None
+
+
+# digest
+
+_digest: tuple[object, str] = (None, "")
+
+
+def _configuration_digest(configuration: object) -> str:
+    """Of a configuration, which may be large: made once for each."""
+    global _digest
+    if _digest[0] is not configuration or not _digest[1]:
+        raw = json.dumps(configuration, sort_keys=True).encode()
+        _digest = (configuration, hashlib.sha256(raw).hexdigest())
+    return _digest[1]
+
+
+def digest(state: state_machine.ClusterState) -> str:
+    """A digest of all that is agreed: members that hold the same show the same."""
+    rest = {key: value for key, value in encode_state(state).items() if key != "manifest"}
+    raw = _configuration_digest(state.configuration) + json.dumps(rest, sort_keys=True)
+    return hashlib.sha256(raw.encode()).hexdigest()[:DIGEST_CHARACTERS]
--- a/basaltport/consensus/elect.py
+++ b/basaltport/consensus/elect.py
@@ -1,5 +1,6 @@
 """A ledger's way to lead: a new generation promised by seats, recovered from the highest serial held."""
 
+import basaltport.consensus.log as log
 import basaltport.consensus.quorum as quorum
 import basaltport.events as events
 import basaltport.identifiers as identifiers
@@ -72,7 +73,7 @@
         addrs = {x["addr"] for x in self.members.values()} | set(self.me.seeds)
         addrs |= {r["addr"] for r in self.tip()["roster"].values()}
         sends = [events.Send(a, m) for a in sorted(addrs - {self.me.addr})]
-        self.write([{"promise": list(gen)}], then=sends)
+        self.write([log.TermRecord(gen)], then=sends)
         self.note(11, generation=gen.text())
 
     def hear_promise(self, src, m):
--- a/basaltport/consensus/feed.py
+++ b/basaltport/consensus/feed.py
@@ -5,8 +5,8 @@
 import basaltport.identifiers as identifiers
 import basaltport.consensus.book as book
 import basaltport.consensus.seat as seat
+import basaltport.consensus.sizes as sizes
 import basaltport.messages as messages
-import basaltport.text as text
 
 BEAT = 200
 RESEND = 250
@@ -77,15 +77,15 @@
         elif m is None or m < head[1]:
             fresh = self.now - at < RESEND or self.on_its_way(s)
             if fresh and upto >= head[1]:
-                return [], {}, *head
+                return [], None, *head
             base = m if m is not None else head[1] - 1
             es, pg, ps = self.entries_from(max(base, upto) if fresh else base)
-            copy = self.copy() if es is None else {}
+            copy = self.copy() if es is None else None
         else:
-            return [], {}, *head
-        size = text.size(copy) if copy else text.size(es)
+            return [], None, *head
+        size = sizes.copy_size(copy) if copy else sum(map(sizes.entry_size, es))
         if size > LARGE and not self.on_its_way(s) and self.large_transfers() >= AT_ONCE:
-            return [], {}, *head
+            return [], None, *head
         self.needs.discard(s)
         self.sent[s] = (self.now, head[1])
         self.note_transfer(s, size, bool(copy))
--- a/basaltport/consensus/journal.py
+++ b/basaltport/consensus/journal.py
@@ -12,14 +12,19 @@
 import result
 
 import basaltport.consensus.durable_files as durable_files
+import basaltport.consensus.log as log
 import basaltport.consensus.member_identity as member_identity
 import basaltport.consensus.record_framing as record_framing
 import basaltport.consensus.snapshot_store as snapshot_store
+import basaltport.consensus.state_machine as state_machine
 import basaltport.consensus.write_ahead_log as write_ahead_log
 import basaltport.identifiers as identifiers
 
 GENERATION_FILE = re.compile(r"(snap|journal)\.(\d+)(\.\w+)?")
 
+Snapshot = snapshot_store.Snapshot
+Contents = snapshot_store.Snapshot | snapshot_store.Encoded
+
 encode = record_framing.encode
 empty = snapshot_store.empty
 parts = snapshot_store.parts
@@ -32,7 +37,7 @@
     let in anew."""
 
     identity: member_identity.Identity
-    held: dict[str, typing.Any] | None
+    held: state_machine.ReplicatedState | None
     promised: identifiers.Term
     new_seat: bool = False
 
@@ -95,8 +100,7 @@
         if manifest.format == member_identity.SEPARATE_FILES:
             self._keep_identity()
         state = write_ahead_log.replay(snapshot.ok_value, scan.ok_value.records)
-        held = {"book": state["book"], "tail": state["tail"]}
-        return result.Ok(Recovered(self.identity, held, identifiers.Term(*state["promised"]), new_seat))
+        return result.Ok(Recovered(self.identity, state.held, state.current_term, new_seat))
 
     def _keep_identity(self) -> None:
         member_identity.prepare(self.folder, self._manifest(self.number))
@@ -107,7 +111,7 @@
 
     # snapshots
 
-    def switch(self, state: snapshot_store.State) -> None:
+    def switch(self, state: Contents) -> None:
         """Replace snapshot and log. A number is never used twice: after an error in `commit` the files of a
         failed switch may be the ones in force."""
         self.last_number += 1
@@ -122,7 +126,7 @@
         self.number, self.log = number, log
         self._remove_all_but_current()
 
-    def _prepare(self, number: int, state: snapshot_store.State) -> write_ahead_log.WriteAheadLog:
+    def _prepare(self, number: int, state: Contents) -> write_ahead_log.WriteAheadLog:
         """All that a switch needs, synced under its names. Where it fails, room is given back."""
         log = None
         try:
@@ -155,7 +159,7 @@
 
     # writing
 
-    def write(self, records: list[bytes | record_framing.Record], whole: snapshot_store.State | None) -> None:
+    def write(self, records: list[bytes | log.DiskRecord], whole: Contents | None) -> None:
         """A snapshot, then records. After a failure only a snapshot is taken: the log may end in part of a
         frame, or may not be the one in force any more."""
         if whole is not None:
@@ -170,7 +174,7 @@
         self.log.append([r if type(r) is bytes else encode(r) for r in records])
         self.broken = False
 
-    def write_all(self, batch: list[tuple[int, list[bytes], snapshot_store.State | None]]) -> None:
+    def write_all(self, batch: list[tuple[int, list[bytes], Contents | None]]) -> None:
         """Writes in their order; records after the last snapshot share one sync."""
         records: list[bytes] = []
         for _, more, whole in batch:
--- a/basaltport/consensus/lead.py
+++ b/basaltport/consensus/lead.py
@@ -2,7 +2,9 @@
 
 import basaltport.identifiers as identifiers
 import basaltport.consensus.book as book
+import basaltport.consensus.codec as codec
 import basaltport.consensus.feed as feed
+import basaltport.consensus.log as log
 import basaltport.consensus.quorum as quorum
 import basaltport.consensus.seat as seat
 import basaltport.messages as messages
@@ -87,13 +89,14 @@
         self.heard_at = self.now
 
     def append(self, op):
+        op = book.operation(op)
         g = self.promised
         e = book.entry(self.head()[1] + 1, g, op)
         self.tail.append(e)
         self.tip_book = book.apply(self.tip_book, e)
         if self.first is None:
             self.first = e["s"]
-        self.write([{"entry": e}])
+        self.write([log.EntryRecord(e)])
         self.beat_at = -(10**9)
         return identifiers.LogIndex(e["s"])
 
@@ -278,7 +281,9 @@
         roster = t["roster"]
         names = {r["name"]: s for s, r in roster.items()}
         fresh = self.heard_within(2500) + [self.me.row()]
-        new = [m for m in fresh if m["seat"] not in self.left and roster.get(m["seat"]) != m]
+        new = [
+            m for m in fresh if m["seat"] not in self.left and roster.get(m["seat"]) != codec.decode_member(m)
+        ]
         swap = [[names[m["name"]], m] for m in new if m["name"] in names]
         add = [m for m in new if m["name"] not in names]
         if swap or add:
--- a/basaltport/consensus/quorum.py
+++ b/basaltport/consensus/quorum.py
@@ -4,9 +4,10 @@
 needs a majority of each (joint consensus); else there is one."""
 
 import collections.abc
-import typing
 
-Book = collections.abc.Mapping[str, typing.Any]
+import basaltport.consensus.log as log
+import basaltport.consensus.state_machine as state_machine
+
 Seats = collections.abc.Set[str]
 
 
@@ -15,27 +16,26 @@
     return 2 * len(some & of) > len(of)
 
 
-def voter_sets(book: Book) -> list[Seats]:
+def voter_sets(state: state_machine.ClusterState) -> list[Seats]:
     """The sets of seats that each must give a majority."""
-    former = book.get("former")
-    if former is None:
-        return [book["roster"].keys()]
-    return [book["roster"].keys(), former.keys()]
+    if state.former_members is None:
+        return [state.members.keys()]
+    return [state.members.keys(), state.former_members.keys()]
 
 
-def voters(book: Book) -> dict[str, dict[str, str]]:
+def voters(state: state_machine.ClusterState) -> dict[str, log.MemberRecord]:
     """Rows by seat of all that vote now."""
-    return {**(book.get("former") or {}), **book["roster"]}
+    return {**(state.former_members or {}), **state.members}
 
 
-def has_majority(book: Book, seats: Seats) -> bool:
+def has_majority(state: state_machine.ClusterState, seats: Seats) -> bool:
     """Whether `seats` hold a majority of every set of voters."""
-    return all(is_majority(seats, of) for of in voter_sets(book))
+    return all(is_majority(seats, of) for of in voter_sets(state))
 
 
-def majority_value(book: Book, value_of: collections.abc.Callable[[str], int]) -> int:
+def majority_value(state: state_machine.ClusterState, value_of: collections.abc.Callable[[str], int]) -> int:
     """The highest value that a majority of every set of voters has reached; 0 without voters."""
-    return min(_median_low(sorted(map(value_of, of), reverse=True)) for of in voter_sets(book))
+    return min(_median_low(sorted(map(value_of, of), reverse=True)) for of in voter_sets(state))
 
 
 def _median_low(values: list[int]) -> int:
--- a/basaltport/consensus/record_framing.py
+++ b/basaltport/consensus/record_framing.py
@@ -8,33 +8,32 @@
 import dataclasses
 import json
 import re
-import typing
 import zlib
 
 import construct
 import result
 
+import basaltport.consensus.codec as codec
+import basaltport.consensus.log as log
 import basaltport.text as text
 
 HEADER = construct.Struct("length" / construct.Int32ub, "crc" / construct.Int32ub)
 HEADER_SIZE = HEADER.sizeof()
-BEGINNING = re.compile(rb'\{"(batch|entry|promise)":')
-BATCH = "batch"
-
-Record = dict[str, typing.Any]
+_KEYS = "|".join((codec.BATCH, codec.ENTRY_RECORD, codec.TERM_RECORD))
+BEGINNING = re.compile(rb'\{"(' + _KEYS.encode() + rb')":')
 
 
 @dataclasses.dataclass(frozen=True)
 class Scan:
     """The records of a log, and the length up to which its frames are whole."""
 
-    records: tuple[Record, ...]
+    records: tuple[log.DiskRecord, ...]
     length: int
 
 
 @dataclasses.dataclass(frozen=True)
 class _Frame:
-    record: Record
+    document: codec.Document
     end: int
 
 
@@ -42,9 +41,9 @@
     return HEADER.build({"length": len(body), "crc": zlib.crc32(body)}) + body
 
 
-def encode(record: Record) -> bytes:
+def encode(record: log.DiskRecord) -> bytes:
     """One record in a frame of its own."""
-    return _frame(text.dumps(record))
+    return _frame(text.dumps(codec.encode_record(record)))
 
 
 def encode_batch(frames: list[bytes]) -> bytes:
@@ -68,13 +67,14 @@
 
 def scan(raw: bytes) -> result.Result[Scan, str]:
     """Whole frames from the start; Err where a damaged frame has whole ones behind it."""
-    records: list[Record] = []
+    records: list[log.DiskRecord] = []
     length = 0
     while length < len(raw):
         frame = _frame_at(raw, length)
         if frame is None:
             break
-        records += frame.record.get(BATCH, [frame.record])
+        documents = frame.document.get(codec.BATCH, [frame.document])
+        records += map(codec.decode_record, documents)
         length = frame.end
     for match in BEGINNING.finditer(raw, length + HEADER_SIZE + 1):
         start = match.start() - HEADER_SIZE
--- a/basaltport/consensus/roster.py
+++ b/basaltport/consensus/roster.py
@@ -1,5 +1,6 @@
 """The leader's part where those with disks alone vote: who has a seat, one change at a time; handing over."""
 
+import basaltport.consensus.codec as codec
 import basaltport.consensus.feed as feed
 import basaltport.consensus.lead as lead
 import basaltport.consensus.quorum as quorum
@@ -183,7 +184,7 @@
             return
         roster = self.tip_book["roster"]
         for m in [*self.heard_within(timing.LEARNER), self.me.row()]:
-            if m["seat"] in roster and roster[m["seat"]] != m:
+            if m["seat"] in roster and roster[m["seat"]] != codec.decode_member(m):
                 self.append({"op": "roster", "add": m})
                 return
         self.add_seat(roster) or self.drop_seat(roster)
--- a/basaltport/consensus/seat.py
+++ b/basaltport/consensus/seat.py
@@ -3,7 +3,10 @@
 import basaltport.events as events
 import basaltport.identifiers as identifiers
 import basaltport.consensus.book as book
+import basaltport.consensus.log as log
 import basaltport.consensus.quorum as quorum
+import basaltport.consensus.state_machine as state_machine
+import basaltport.errors as errors
 import basaltport.messages as messages
 
 LEASE = 1500
@@ -21,8 +24,9 @@
     LEASE = LEASE
 
     def seat_start(self, held=None, promised=NONE):
-        self.book = (held or {}).get("book") or book.new()
-        self.tail = list((held or {}).get("tail") or [])
+        held = held or state_machine.ReplicatedState()
+        self.book = held.cluster_state
+        self.tail = list(held.uncommitted)
         self.promised = promised
         self.promised_at = -(10**9)
         self.stopped = False
@@ -55,7 +59,7 @@
         return b
 
     def copy(self):
-        return {"book": self.book, "tail": list(self.tail)}
+        return state_machine.ReplicatedState(self.book, tuple(self.tail))
 
     def durable_head(self, head, promise):
         self.dur, self.dur_promised = head, promise
@@ -135,7 +139,7 @@
         self.promised = m.gen
         self.promised_at = self.now
         self.lost_lead(m.gen)
-        self.write([{"promise": list(m.gen)}], then=[events.Send(m.addr, self.promise(m.gen, True))])
+        self.write([log.TermRecord(m.gen)], then=[events.Send(m.addr, self.promise(m.gen, True))])
 
     def lost_lead(self, gen):
         pass
@@ -163,7 +167,7 @@
         if m.gen > self.promised:
             self.promised = m.gen
             self.lost_lead(m.gen)
-            self.write([{"promise": list(m.gen)}])
+            self.write([log.TermRecord(m.gen)])
         if self.leader is None or self.leader.gen != m.gen:
             self.note(10, leader=m.name, generation=m.gen.text())
             self.beat_n = 0
@@ -200,15 +204,15 @@
     def install(self, copy):
         """Takes a copy over; what is in force here stays so: of a copy whose book is older only the entries
         behind what is in force are taken, and of one that does not reach it nothing."""
-        if copy["book"]["serial"] >= self.book["serial"]:
-            self.book, self.tail = copy["book"], list(copy["tail"])
+        if copy.cluster_state.log_index >= self.book.log_index:
+            self.book, self.tail = copy.cluster_state, list(copy.uncommitted)
             self.write([], whole=self.copy())
             self.in_force()
             return
         at = book.serial(self.book)
-        if not any(e["s"] == at and book.gen_of(e) == book.gen(self.book) for e in copy["tail"]):
+        if not any(e["s"] == at and book.gen_of(e) == book.gen(self.book) for e in copy.uncommitted):
             return
-        self.tail = [e for e in copy["tail"] if e["s"] > at]
+        self.tail = [e for e in copy.uncommitted if e["s"] > at]
         self.write([], whole=self.copy())
 
     def extend(self, m):
@@ -221,7 +225,7 @@
         elif have.get(m.pserial) != m.pgen or not book.contiguous(m.entries, m.pserial):
             return False
         else:
-            es = m.entries
+            es = list(m.entries)
         i = 0
         while i < len(es) and have.get(es[i]["s"]) == book.gen_of(es[i]):
             i += 1
@@ -229,7 +233,7 @@
         if not es:
             return True
         self.tail = [e for e in self.tail if e["s"] < es[0]["s"]] + es
-        self.write([{"entry": e} for e in es])
+        self.write([log.EntryRecord(e) for e in es])
         return True
 
     def advance(self, commit, cgen):
@@ -238,7 +242,7 @@
         if not any(e["s"] == commit and book.gen_of(e) == cgen for e in self.tail):
             return
         if not book.contiguous(self.tail, self.book["serial"]):
-            raise ValueError(f"the log has a gap behind {self.book['serial']}")
+            raise errors.LogGapError(self.book.log_index)
         while self.tail and self.tail[0]["s"] <= commit:
             self.book = book.apply(self.book, self.tail.pop(0))
         self.in_force()
--- a/basaltport/consensus/snapshot_store.py
+++ b/basaltport/consensus/snapshot_store.py
@@ -1,16 +1,18 @@
 """Snapshots of a member's state in dbm.dumb files, one pair of files to a snapshot, each value with its
 checksum."""
 
+import dataclasses
 import dbm.dumb
 import json
 import os
-import typing
 import zlib
 
 import result
 
-import basaltport.consensus.book as book
+import basaltport.consensus.codec as codec
 import basaltport.consensus.durable_files as durable_files
+import basaltport.consensus.state_machine as state_machine
+import basaltport.identifiers as identifiers
 import basaltport.text as text
 
 BOOK = "book/"
@@ -18,7 +20,16 @@
 SYNCED = ("dat", "dir")
 ALL_FILES = ("dat", "dir", "bak")
 
-State = dict[str, typing.Any]
+Encoded = dict[str, bytes]
+"""The values of a snapshot by key."""
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class Snapshot:
+    """All that a member must not forget: what it holds of the log, and its term."""
+
+    held: state_machine.ReplicatedState = state_machine.ReplicatedState()
+    current_term: identifiers.Term = identifiers.Term()
 
 
 class Database(dbm.dumb._Database):
@@ -31,29 +42,36 @@
         pass
 
 
-def empty() -> State:
+def empty() -> Snapshot:
     """The state of a member that was never told anything."""
-    return {"book": book.new(), "tail": [], "promised": [0, ""]}
+    return Snapshot()
 
 
-def parts(state: State) -> dict[str, bytes]:
-    """A state as the values of its snapshot; where the caller made them already, as they are."""
-    if "parts" in state:
-        return dict(state["parts"])
-    values = {BOOK + k: text.dumps({k: v})[len(k) + 4 : -1] for k, v in state["book"].items()}
-    values["tail"] = text.dumps(state["tail"])
-    values["promised"] = text.plain(list(state["promised"]))
+def parts(snapshot: Snapshot) -> Encoded:
+    """A snapshot as its values by key."""
+    document = codec.encode_state(snapshot.held.cluster_state)
+    values = {BOOK + k: text.dumps({k: v})[len(k) + 4 : -1] for k, v in document.items()}
+    values["tail"] = text.dumps(codec.encode_entries(snapshot.held.uncommitted))
+    values["promised"] = text.plain(list(snapshot.current_term))
     return values
 
 
+def decode(values: Encoded) -> Snapshot:
+    """The snapshot of its values by key."""
+    document = {k.removeprefix(BOOK): json.loads(v) for k, v in values.items() if k.startswith(BOOK)}
+    entries = tuple(codec.decode_entries(json.loads(values["tail"])))
+    held = state_machine.ReplicatedState(codec.decode_state(document), entries)
+    return Snapshot(held, identifiers.Term(*json.loads(values["promised"])))
+
+
 def _path(folder: str, number: int) -> str:
     return os.path.join(folder, f"snap.{number}")
 
 
-def write(folder: str, number: int, state: State) -> None:
+def write(folder: str, number: int, snapshot: Snapshot | Encoded) -> None:
     """Write and sync the files of a snapshot; their names are safe once the folder is synced. Leftovers are
     removed here, since dbm.dumb goes on with an index whose removal was refused."""
-    values = parts(state)
+    values = parts(snapshot) if isinstance(snapshot, Snapshot) else dict(snapshot)
     checksums = {key: zlib.crc32(value) for key, value in values.items()}
     values[CHECKSUMS] = json.dumps(checksums).encode()
     path = _path(folder, number)
@@ -66,7 +84,7 @@
         durable_files.sync(f"{path}.{extension}")
 
 
-def read(folder: str, number: int) -> result.Result[State, str]:
+def read(folder: str, number: int) -> result.Result[Snapshot, str]:
     """The state that a snapshot holds, or why it cannot be had."""
     try:
         with Database(_path(folder, number), "r") as database:
@@ -74,13 +92,6 @@
             values = {key.decode(): database[key] for key in database.keys() if key != CHECKSUMS.encode()}
         if {key: zlib.crc32(value) for key, value in values.items()} != checksums:
             return result.Err("a snapshot record's checksum differs")
-        items = {k.removeprefix(BOOK): json.loads(v) for k, v in values.items() if k.startswith(BOOK)}
-        return result.Ok(
-            {
-                "book": {**book.new(), **items},
-                "tail": json.loads(values["tail"]),
-                "promised": json.loads(values["promised"]),
-            }
-        )
+        return result.Ok(decode(values))
     except (dbm.dumb.error, OSError, ValueError, KeyError, SyntaxError, TypeError) as error:
         return result.Err(f"snapshot {number} cannot be read: {type(error).__name__}")
--- /dev/null
+++ b/basaltport/consensus/state_machine.py
@@ -0,0 +1,380 @@
+"""The state that the members agree on, and what each operation of the log does to it.
+
+`apply` is pure: it gives back a new state and leaves the one before as it is, so that a state may be kept,
+sent and written while others follow it.
+"""
+
+import collections.abc
+import dataclasses
+import typing
+
+import basaltport.configuration.patch as patch
+import basaltport.configuration.routes as routes
+import basaltport.consensus.log as log
+import basaltport.consensus.old_keys as old_keys
+import basaltport.errors as errors
+import basaltport.hash_ring as hash_ring
+import basaltport.identifiers as identifiers
+import basaltport.range_digests as ranges
+
+KEPT_CHANGES = 200
+"""How many change ids and rows of the history are kept where the founding entry does not say."""
+HOLDERS_PER_RANGE = 5
+VOTING_DISK_MEMBERS = "ledgers"
+ROLE_OF_QUERY_NODES = "rostrum"
+
+Members = collections.abc.Mapping[str, log.MemberRecord]
+Indexes = collections.abc.Mapping[str, int]
+Changes = dict[str, typing.Any]
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class RoleOwner(old_keys.OldKeys):
+    """The owner of a singleton role. `fence`: index of the entry that named it. `first`: nothing that an
+    owner before had sent is under way. `is_new`: the role had no owner before."""
+
+    OLD_KEYS: typing.ClassVar[dict[str, str]] = {
+        "owner": "owner",
+        "fence": "fence",
+        "first": "first",
+        "new": "is_new",
+    }
+
+    owner: str
+    fence: int
+    first: bool
+    is_new: bool = False
+    unknown: log.Unknown = ()
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class Shard(old_keys.OldKeys):
+    """Who may send orders for a shard of the replicas, under which fencing token; `former_owner`: the
+    member that may have sent the last ones before, the owner itself once it has waited them out."""
+
+    OLD_KEYS: typing.ClassVar[dict[str, str]] = {"owner": "owner", "fence": "fence", "was": "former_owner"}
+
+    owner: str | None
+    fence: int
+    former_owner: str | None
+    unknown: log.Unknown = ()
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class KeyHolder:
+    """A member that holds a range of keys: index of the entry by which it joined, and of those by which the
+    holders before had joined."""
+
+    joined: int
+    predecessors: Indexes
+
+    def __iter__(self) -> collections.abc.Iterator[typing.Any]:
+        """TEMPORARY: read as a pair."""
+        return iter((self.joined, self.predecessors))
+
+    def __getitem__(self, i: int) -> typing.Any:
+        """TEMPORARY: read as a pair."""
+        return (self.joined, self.predecessors)[i]
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class KeyRange(old_keys.OldKeys):
+    """The holders of a range of keys since the entry of index `since`."""
+
+    OLD_KEYS: typing.ClassVar[dict[str, str]] = {"at": "since", "seats": "holders"}
+
+    since: int
+    holders: collections.abc.Mapping[str, KeyHolder]
+    unknown: log.Unknown = ()
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class HistoryRecord(old_keys.OldKeys):
+    """A change that an operator asked for and that was agreed."""
+
+    OLD_KEYS: typing.ClassVar[dict[str, str]] = {
+        "serial": "log_index",
+        "op": "operation",
+        "change": "change_id",
+    }
+
+    log_index: int
+    operation: str
+    change_id: str
+    unknown: log.Unknown = ()
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class ClusterState(old_keys.OldKeys):
+    """All that is agreed, up to the entry of `log_index`, which a leader of `term` proposed.
+
+    `configuration` is in force since the entry of `configuration_version`. `recent_changes`: index of the
+    entry by change id, the oldest first. `members` by member id; `former_members` are given while a joint
+    change is under way. `evacuated_zones`, `leaving_replicas`: index of the entry by name. `key_holders` by
+    number of the range. `voting`: "ledgers" where members with a disk alone are listed and vote.
+    `kept_changes`: how many change ids are remembered, None for KEPT_CHANGES. `unknown`: what a newer
+    release stored beside these.
+    """
+
+    OLD_KEYS: typing.ClassVar[dict[str, str]] = {
+        "serial": "log_index",
+        "gen": "term",
+        "mserial": "configuration_version",
+        "manifest": "configuration",
+        "changes": "recent_changes",
+        "roster": "members",
+        "ledgers": "disk_members",
+        "drains": "evacuated_zones",
+        "leaving": "leaving_replicas",
+        "platform": "listed_replicas",
+        "duties": "role_owners",
+        "history": "history",
+        "keepers": "key_holders",
+        "voters": "voting",
+        "keep": "kept_changes",
+        "slices": "shards",
+        "former": "former_members",
+    }
+    OPTIONAL_KEYS: typing.ClassVar[frozenset[str]] = frozenset({"voters", "keep", "slices", "former"})
+
+    log_index: identifiers.LogIndex = identifiers.LogIndex(0)
+    term: identifiers.Term = identifiers.Term()
+    configuration_version: identifiers.LogIndex = identifiers.LogIndex(0)
+    configuration: log.Document | None = None
+    recent_changes: Indexes = dataclasses.field(default_factory=dict)
+    members: Members = dataclasses.field(default_factory=dict)
+    disk_members: tuple[str, ...] = ()
+    evacuated_zones: Indexes = dataclasses.field(default_factory=dict)
+    leaving_replicas: Indexes = dataclasses.field(default_factory=dict)
+    listed_replicas: collections.abc.Mapping[str, log.ListedReplica] = dataclasses.field(default_factory=dict)
+    role_owners: collections.abc.Mapping[str, RoleOwner] = dataclasses.field(default_factory=dict)
+    history: tuple[HistoryRecord, ...] = ()
+    key_holders: collections.abc.Mapping[str, KeyRange] = dataclasses.field(default_factory=dict)
+    voting: str | None = None
+    kept_changes: int | None = None
+    shards: collections.abc.Mapping[str, Shard] = dataclasses.field(default_factory=dict)
+    former_members: Members | None = None
+    unknown: log.Unknown = ()
+
+    @property
+    def only_disk_members_vote(self) -> bool:
+        """Whether members with a disk alone are listed and vote."""
+        return self.voting is not None
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class ReplicatedState(old_keys.OldKeys):
+    """What a member holds: the agreed state, and entries behind it that are not known to be agreed."""
+
+    OLD_KEYS: typing.ClassVar[dict[str, str]] = {"book": "cluster_state", "tail": "uncommitted"}
+
+    cluster_state: ClusterState = ClusterState()
+    uncommitted: tuple[log.LogEntry, ...] = ()
+
+    @property
+    def last_index(self) -> int:
+        """The index of the last entry held."""
+        return self.uncommitted[-1].index if self.uncommitted else self.cluster_state.log_index
+
+
+def apply(state: ClusterState, entry: log.LogEntry) -> ClusterState:
+    """The state after an agreed entry; UnknownOperationError for one of a newer release."""
+    operation, index = entry.operation, entry.index
+    effect = _EFFECTS.get(type(operation))
+    if effect is None:
+        raise errors.UnknownOperationError(operation.kind, index)
+    changes = effect(state, operation, index)
+    if operation.change_id is not None:
+        changes |= _remember(state, operation, index)
+    return dataclasses.replace(state, log_index=index, term=entry.term, **changes)
+
+
+def apply_all(state: ClusterState, entries: collections.abc.Iterable[log.LogEntry]) -> ClusterState:
+    """The state after entries that follow one another."""
+    for entry in entries:
+        state = apply(state, entry)
+    return state
+
+
+def _remember(state: ClusterState, operation: log.Operation, index: int) -> Changes:
+    """A change that is asked for again is known by its id, for as long as that is kept."""
+    recent = {**state.recent_changes, str(operation.change_id): index}
+    kept = KEPT_CHANGES if state.kept_changes is None else state.kept_changes
+    while len(recent) > kept:
+        del recent[next(iter(recent))]
+    row = HistoryRecord(index, operation.kind, str(operation.change_id))
+    return {"recent_changes": recent, "history": (*state.history, row)[-KEPT_CHANGES:]}
+
+
+# members
+
+
+def _cluster_founded(state: ClusterState, operation: log.ClusterFounded, index: int) -> Changes:
+    changes: Changes = {"members": dict(operation.members), "disk_members": operation.disk_members}
+    if operation.voting is not None:
+        changes["voting"] = operation.voting
+    if operation.kept_changes is not None:
+        changes["kept_changes"] = operation.kept_changes
+    return _with_key_holders(state, changes, index)
+
+
+def _term_begun(state: ClusterState, operation: log.TermBegun, index: int) -> Changes:
+    changes = _membership(state, operation.replacements, None, operation.removed, index)
+    if operation.disk_members and not state.only_disk_members_vote:
+        changes["disk_members"] = operation.disk_members
+    return changes
+
+
+def _members_changed(state: ClusterState, operation: log.MembersChanged, index: int) -> Changes:
+    return _membership(state, operation.replacements or (), operation.added, operation.removed, index)
+
+
+def _membership(
+    state: ClusterState,
+    replacements: collections.abc.Iterable[log.Replacement],
+    added: log.MemberRecord | None,
+    removed: collections.abc.Iterable[str],
+    index: int,
+) -> Changes:
+    members = dict(state.members)
+    disk_members = list(state.disk_members)
+    for replacement in replacements:
+        former_id, member = replacement.former_id, replacement.member
+        members.pop(former_id, None)
+        members[member.member_id] = member
+        disk_members = [member.member_id if x == former_id else x for x in disk_members]
+    if added:
+        members[added.member_id] = added
+    for member_id in removed:
+        members.pop(member_id, None)
+        disk_members = [x for x in disk_members if x != member_id]
+    if state.only_disk_members_vote:
+        disk_members = sorted(members)
+    return _with_key_holders(state, {"members": members, "disk_members": tuple(disk_members)}, index)
+
+
+def _joint_change_begun(state: ClusterState, operation: log.JointChangeBegun, index: int) -> Changes:
+    members = {k: v for k, v in state.members.items() if k not in operation.removed}
+    members.update({member.member_id: member for member in operation.added})
+    return {
+        "former_members": dict(state.members),
+        "members": members,
+        "disk_members": tuple(sorted(members)),
+    }
+
+
+def _joint_change_completed(state: ClusterState, operation: log.JointChangeCompleted, index: int) -> Changes:
+    return {"former_members": None}
+
+
+def _disk_members_set(state: ClusterState, operation: log.DiskMembersSet, index: int) -> Changes:
+    return {"disk_members": operation.disk_members}
+
+
+# holders of the ranges of clients' keys
+
+
+def needs_fewer(new: collections.abc.Sized, old: collections.abc.Sized) -> bool:
+    """Whether a majority of the new is smaller than one of the old was."""
+    return len(new) // 2 < len(old) // 2
+
+
+def _with_key_holders(state: ClusterState, changes: Changes, index: int) -> Changes:
+    """Five query nodes hold each range of keys; each has with it the entry it joined by, and who held the
+    range before. Where a majority of them would be smaller than before, those that stay join anew as
+    well."""
+    if state.only_disk_members_vote or changes.get("voting") is not None:
+        return changes
+    nodes = {m.name: i for i, m in changes["members"].items() if m.role == ROLE_OF_QUERY_NODES}
+    changes["key_holders"] = {
+        number: _key_range(number, state.key_holders.get(number), nodes, index)
+        for number in map(str, range(ranges.RANGES))
+    }
+    return changes
+
+
+def _key_range(number: str, before: KeyRange | None, nodes: dict[str, str], index: int) -> KeyRange:
+    before = before or KeyRange(0, {})
+    chosen = {nodes[name] for name in hash_ring.successors(f"keys/{number}", nodes, HOLDERS_PER_RANGE)}
+    if not chosen or chosen == before.holders.keys():
+        return before
+    predecessors = {member_id: holder.joined for member_id, holder in before.holders.items()}
+    joins = KeyHolder(index, predecessors)
+    stay = {} if needs_fewer(chosen, before.holders) else before.holders
+    return KeyRange(index, {member_id: stay.get(member_id, joins) for member_id in sorted(chosen)})
+
+
+# configuration, zones, replicas
+
+
+def _configuration_put(state: ClusterState, operation: log.ConfigurationPut, index: int) -> Changes:
+    return {"configuration": operation.configuration, "configuration_version": index}
+
+
+def _configuration_merged(state: ClusterState, operation: log.ConfigurationMerged, index: int) -> Changes:
+    merged = patch.merge(state.configuration, operation.patch)
+    return {"configuration": merged, "configuration_version": index}
+
+
+def _items_patched(state: ClusterState, operation: log.ItemsPatched, index: int) -> Changes:
+    patched = routes.patch(typing.cast(typing.Any, state.configuration), dict(operation.patch))
+    return {"configuration": patched, "configuration_version": index}
+
+
+def _zone_evacuated(state: ClusterState, operation: log.ZoneEvacuated, index: int) -> Changes:
+    return {"evacuated_zones": {**state.evacuated_zones, operation.zone: index}}
+
+
+def _evacuation_withdrawn(state: ClusterState, operation: log.EvacuationWithdrawn, index: int) -> Changes:
+    return {"evacuated_zones": {k: v for k, v in state.evacuated_zones.items() if k != operation.zone}}
+
+
+def _replica_leaving(state: ClusterState, operation: log.ReplicaLeaving, index: int) -> Changes:
+    return {"leaving_replicas": {**state.leaving_replicas, operation.replica: index}}
+
+
+def _replicas_listed(state: ClusterState, operation: log.ReplicasListed, index: int) -> Changes:
+    leaving = {k: v for k, v in state.leaving_replicas.items() if k in operation.replicas}
+    return {"listed_replicas": operation.replicas, "leaving_replicas": leaving}
+
+
+# owners
+
+
+def _roles_assigned(state: ClusterState, operation: log.RolesAssigned, index: int) -> Changes:
+    before = state.role_owners
+    assigned = {
+        role: RoleOwner(owner, index, operation.after_restart or role not in before, role not in before)
+        for role, owner in operation.owners.items()
+    }
+    return {"role_owners": {**before, **assigned}}
+
+
+def _shards_assigned(state: ClusterState, operation: log.ShardsAssigned, index: int) -> Changes:
+    shards = dict(state.shards)
+    for number, owner in operation.owners.items():
+        before = shards.get(number)
+        former = (before.owner or before.former_owner) if before else owner
+        shards[number] = Shard(owner, index, former)
+    for number in operation.settled:
+        shards[number] = dataclasses.replace(shards[number], former_owner=shards[number].owner)
+    return {"shards": shards}
+
+
+_EFFECTS: dict[type, typing.Callable[[ClusterState, typing.Any, int], Changes]] = {
+    log.ClusterFounded: _cluster_founded,
+    log.TermBegun: _term_begun,
+    log.MembersChanged: _members_changed,
+    log.JointChangeBegun: _joint_change_begun,
+    log.JointChangeCompleted: _joint_change_completed,
+    log.DiskMembersSet: _disk_members_set,
+    log.ConfigurationPut: _configuration_put,
+    log.ConfigurationMerged: _configuration_merged,
+    log.ItemsPatched: _items_patched,
+    log.ZoneEvacuated: _zone_evacuated,
+    log.EvacuationWithdrawn: _evacuation_withdrawn,
+    log.ReplicaLeaving: _replica_leaving,
+    log.ReplicasListed: _replicas_listed,
+    log.RolesAssigned: _roles_assigned,
+    log.ShardsAssigned: _shards_assigned,
+}
--- a/basaltport/consensus/voters.py
+++ b/basaltport/consensus/voters.py
@@ -4,8 +4,8 @@
 import basaltport.consensus.book as book
 import basaltport.consensus.quorum as quorum
 import basaltport.consensus.seat as seat
+import basaltport.consensus.sizes as sizes
 import basaltport.consensus.timing as timing
-import basaltport.text as text
 
 LEASE = timing.EXECUTOR_LEASE
 PAST = 200
@@ -89,9 +89,8 @@
             return
         g, s = self.head()
         if m.copy and g == m.gen:
-            tail = m.copy["tail"]
-            if (tail[-1]["s"] if tail else m.copy["book"]["serial"]) <= s:
-                m.copy = {}
+            if m.copy.last_index <= s:
+                m.copy = None
         super().hear_beat(src, m)
 
     def advance(self, commit, cgen):
@@ -107,9 +106,9 @@
         if self.past and e["s"] - 1 not in self.past:
             self.clear_past()
         self.past[e["s"]] = e
-        self.past_size += text.size(e)
+        self.past_size += sizes.entry_size(e)
         while len(self.past) > PAST or self.past_size > PAST_BYTES and len(self.past) > 1:
-            self.past_size -= text.size(self.past.pop(next(iter(self.past))))
+            self.past_size -= sizes.entry_size(self.past.pop(next(iter(self.past))))
 
     def install(self, copy):
         was = book.serial(self.book)
--- a/basaltport/consensus/write_ahead_log.py
+++ b/basaltport/consensus/write_ahead_log.py
@@ -6,24 +6,28 @@
 import result
 
 import basaltport.consensus.durable_files as durable_files
+import basaltport.consensus.log as log
 import basaltport.consensus.record_framing as record_framing
 import basaltport.consensus.snapshot_store as snapshot_store
+import basaltport.consensus.state_machine as state_machine
 
 
 def replay(
-    state: snapshot_store.State, records: typing.Iterable[record_framing.Record]
-) -> snapshot_store.State:
-    """The state of a snapshot with the records of its log over it. A promise never goes back."""
-    tail = list(state["tail"])
-    promised = state["promised"]
+    snapshot: snapshot_store.Snapshot, records: typing.Iterable[log.DiskRecord]
+) -> snapshot_store.Snapshot:
+    """The state of a snapshot with the records of its log over it. The term never goes back."""
+    entries = list(snapshot.held.uncommitted)
+    term = snapshot.current_term
     for record in records:
-        if "promise" in record:
-            promised = max(promised, record["promise"])
+        if isinstance(record, log.TermRecord):
+            term = max(term, record.term)
             continue
-        entry = record["entry"]
-        tail = [held for held in tail if held["s"] < entry["s"]] + [entry]
-        promised = max(promised, entry["g"])
-    return {"book": state["book"], "tail": tail, "promised": promised}
+        while entries and entries[-1].index >= record.entry.index:
+            entries.pop()
+        entries.append(record.entry)
+        term = max(term, record.entry.term)
+    held = state_machine.ReplicatedState(snapshot.held.cluster_state, tuple(entries))
+    return snapshot_store.Snapshot(held, term)
 
 
 def _path(folder: str, number: int) -> str:
--- a/basaltport/controller/node.py
+++ b/basaltport/controller/node.py
@@ -1,5 +1,6 @@
 """The controller: consensus, operators' requests, placement and the feed to proxies in one reducer."""
 
+import basaltport.consensus.sizes as sizes
 import basaltport.consensus.campaign as campaign
 import basaltport.consensus.roster as roster
 import basaltport.consensus.seat as seat
@@ -10,7 +11,6 @@
 import basaltport.member as member
 import basaltport.placement.effects as effects
 import basaltport.placement.machine as machine
-import basaltport.text as text
 
 SNAPSHOT_EVERY = 200
 SNAPSHOT_BYTES = 4 << 20
@@ -76,7 +76,7 @@
 
     def keep_past(self, e):
         super().keep_past(e)
-        self.unkept += text.size(e)
+        self.unkept += sizes.entry_size(e)
 
     def in_force(self):
         if self.book["serial"] - self.kept_at < SNAPSHOT_EVERY and self.unkept < SNAPSHOT_BYTES:
--- a/basaltport/events.py
+++ b/basaltport/events.py
@@ -3,6 +3,8 @@
 import dataclasses
 import typing
 
+import basaltport.consensus.log as log
+import basaltport.consensus.state_machine as state_machine
 import basaltport.identifiers as identifiers
 
 Document = dict[str, typing.Any]
@@ -122,11 +124,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Write:
-    """Records for the journal; with `whole`, a fresh snapshot that replaces it."""
+    """Records for the log on the disk; with `whole`, all that the member holds, as a snapshot that replaces
+    it."""
 
     token: int
-    records: list[typing.Any]
-    whole: Document | None = None
+    records: list[log.DiskRecord]
+    whole: state_machine.ReplicatedState | None = None
 
 
 @dataclasses.dataclass(slots=True)
--- a/basaltport/fleet/follow.py
+++ b/basaltport/fleet/follow.py
@@ -3,7 +3,7 @@
 import collections.abc
 import typing
 
-import basaltport.consensus.book as book
+import basaltport.consensus.state_machine as state_machine
 import basaltport.fleet.messages as messages
 import basaltport.identifiers as identifiers
 import basaltport.member as member
@@ -43,7 +43,7 @@
 
     def follow_start(self) -> None:
         """Begin with nothing known."""
-        self.book: Row = book.new()
+        self.book = state_machine.ClusterState()
         self.rows: Rows = {}
         self.controllers: list[str] = []
         self.proxies = 0
@@ -97,7 +97,7 @@
 
     def follow_of(self, use: Row, load: Row) -> messages.Follow:
         """Where the leader's address is not known, it is to tell all anew."""
-        m, s = self.me, book.serial(self.book)
+        m, s = self.me, self.book.log_index
         gen = self.feed_gen if self.leader_address else identifiers.Term()
         return messages.Follow(m.name, m.zone, m.addr, gen, s, self.feed_n, use, load)
 
@@ -118,24 +118,24 @@
         self.proxies = m.proxies
         if m.leader_address:
             self.leader_address, self.controllers = m.leader_address, list(m.controllers)
-        was = self.book["serial"]
+        was = self.book.log_index
         self.take_book(m)
         ids = self.take_rows(m)
-        if self.book["serial"] > was:
+        if self.book.log_index > was:
             self.followed()
         if ids:
             self.rows_changed(ids)
-        lacks = m.serial > self.book["serial"] or m.n > self.feed_n
+        lacks = m.serial > self.book.log_index or m.n > self.feed_n
         if lacks and self.now - self.follow_at >= AT_ONCE:
             self.follow()
 
     def take_book(self, m: messages.Update) -> None:
         """Take the copy if it is newer, and entries that join on."""
-        if m.copy and m.copy["serial"] > self.book["serial"]:
-            self.book = {**book.new(), **m.copy}
-        for e in m.entries:
-            if e["s"] == self.book["serial"] + 1:
-                self.book = book.apply(self.book, e)
+        if m.copy is not None and m.copy.log_index > self.book.log_index:
+            self.book = m.copy
+        for entry in m.entries:
+            if entry.index == self.book.log_index + 1:
+                self.book = state_machine.apply(self.book, entry)
 
     def take_rows(self, m: messages.Update) -> set[str]:
         """Ids whose rows are not as they were."""
--- a/basaltport/fleet/messages.py
+++ b/basaltport/fleet/messages.py
@@ -30,8 +30,8 @@
     leader_address: str
     controllers: list[str]
     serial: identifiers.LogIndex
-    entries: messages.Rows
-    copy: messages.Document
+    entries: messages.Entries
+    copy: messages.FeedState
     full: bool
     base: int
     n: int
--- a/basaltport/fleet/publish.py
+++ b/basaltport/fleet/publish.py
@@ -3,6 +3,9 @@
 import typing
 
 import basaltport.consensus.feed as feed
+import basaltport.consensus.log as log
+import basaltport.consensus.sizes as sizes
+import basaltport.consensus.state_machine as state_machine
 import basaltport.fleet.messages as messages
 import basaltport.identifiers as identifiers
 import basaltport.member as member
@@ -18,7 +21,20 @@
 NOBODY = identifiers.Name("")
 ROW_BYTES = 500
 """About how much one row takes."""
-COPIED = ("serial", "gen", "mserial", "manifest", "drains", "roster", "voters", "slices")
+
+
+def feed_part(state: state_machine.ClusterState) -> state_machine.ClusterState:
+    """The part of the agreed state that proxies need; see `codec.encode_feed_state`."""
+    return state_machine.ClusterState(
+        log_index=state.log_index,
+        term=state.term,
+        configuration_version=state.configuration_version,
+        configuration=state.configuration,
+        evacuated_zones=state.evacuated_zones,
+        members=state.members,
+        voting=state.voting,
+        shards=state.shards,
+    )
 
 
 Row = dict[str, typing.Any]
@@ -27,8 +43,8 @@
 class BookPart(typing.NamedTuple):
     """What a proxy lacks of the agreed book: entries, or a copy."""
 
-    entries: list[Row]
-    copy: Row
+    entries: list[log.LogEntry]
+    copy: state_machine.ClusterState | None
 
 
 class RowsPart(typing.NamedTuple):
@@ -87,8 +103,8 @@
 
     me: member.Me
     now: identifiers.Millis
-    book: Row
-    past: dict[int, Row]
+    book: state_machine.ClusterState
+    past: dict[int, log.LogEntry]
     leading: bool
     leader: typing.Any
     promised: identifiers.Term
@@ -245,7 +261,8 @@
             len(self.proxies),
         )
         p.serial, p.seen, p.told = self.book["serial"], n, controllers
-        size = text.size(entries) + text.size(copy) + ROW_BYTES * len(rows)
+        size = sum(map(sizes.entry_size, entries)) + ROW_BYTES * len(rows)
+        size += sizes.state_size(copy) if copy else text.OVERHEAD
         p.sent(size, self.now)
         self.send(p.address, m)
 
@@ -254,9 +271,13 @@
         top = self.book["serial"]
         here = top - serial <= len(self.past)
         es = [self.past.get(k) for k in range(serial + 1, top + 1)] if here else [None]
-        if serial and all(es) and sum(map(text.size, es)) <= text.size(self.book) + SMALL:
-            return BookPart([e for e in es if e], {})
-        return BookPart([], {k: self.book[k] for k in COPIED if k in self.book})
+        if (
+            serial
+            and all(es)
+            and sum(sizes.entry_size(e) for e in es if e) <= sizes.state_size(self.book) + SMALL
+        ):
+            return BookPart([e for e in es if e], None)
+        return BookPart([], feed_part(self.book))
 
     def rows_for(self, seen: int) -> RowsPart:
         """Rows after a number of the feed, all of them where it is below 0."""
--- a/basaltport/frames.py
+++ b/basaltport/frames.py
@@ -10,6 +10,7 @@
 import construct
 import result
 
+import basaltport.consensus.codec as codec
 import basaltport.identifiers as identifiers
 import basaltport.messages as messages
 import basaltport.text as text
@@ -82,12 +83,28 @@
     return _DOC
 
 
+class _Conversion(typing.NamedTuple):
+    """How values of a type become documents, and come of them."""
+
+    encode: collections.abc.Callable[[typing.Any], object]
+    decode: collections.abc.Callable[[typing.Any], object]
+
+
+_CONVERSIONS: dict[object, _Conversion] = {
+    messages.Entries: _Conversion(codec.encode_entries, codec.decode_entries),
+    messages.StateCopy: _Conversion(codec.encode_copy, codec.decode_copy),
+    messages.FeedState: _Conversion(codec.encode_feed_state, codec.decode_feed_state),
+}
+
+
 class _Field(typing.NamedTuple):
-    """A message's field: its class without parameters, and its form on the wire."""
+    """A message's field: its class without parameters, its form on the wire, and for values that are sent as
+    documents of another form the conversion."""
 
     name: str
     type: type
     form: construct.Construct
+    conversion: _Conversion | None
 
 
 @functools.cache
@@ -95,8 +112,9 @@
     """The fields of a message class."""
     out = []
     for field in dataclasses.fields(typing.cast(messages.MessageType, cls)):
-        plain = typing.cast(type, typing.get_origin(field.type) or field.type)
-        out.append(_Field(field.name, plain, _form(plain)))
+        conversion = _CONVERSIONS.get(field.type)
+        plain = object if conversion else typing.cast(type, typing.get_origin(field.type) or field.type)
+        out.append(_Field(field.name, plain, _form(plain), conversion))
     return tuple(out)
 
 
@@ -109,10 +127,10 @@
     """A frame as its parts; large documents are not copied on the way."""
     cls = typing.cast(messages.MessageType, type(msg))
     out: list[bytes] = []
-    for name, _, form in _layout(cls):
+    for name, _, form, conversion in _layout(cls):
         value = getattr(msg, name)
         if form is _DOC:
-            raw = text.dumps(value)
+            raw = text.dumps(conversion.encode(value) if conversion else value)
             out += [construct.VarInt.build(len(raw)), raw]
             continue
         out.append(form.build(value))
@@ -150,12 +168,15 @@
     cls = messages.KINDS[h.kind]
     try:
         got = _body(cls).parse(raw)
-        return result.Ok(cls(**{name: _cast(plain, got[name]) for name, plain, _ in _layout(cls)}))
+        return result.Ok(cls(**{field.name: _value(field, got[field.name]) for field in _layout(cls)}))
     except (construct.ConstructError, ValueError, TypeError) as e:
         return result.Err(f"garbled body: {type(e).__name__}")
 
 
-def _cast(t: type, value: object) -> object:
+def _value(field: _Field, value: object) -> object:
+    if field.conversion is not None:
+        return field.conversion.decode(value)
+    t = field.type
     if t in (dict, list) and not isinstance(value, t):
         raise TypeError(t.__name__)
     if t is identifiers.Term or not issubclass(t, (int, str)):
--- a/basaltport/member.py
+++ b/basaltport/member.py
@@ -5,9 +5,11 @@
 import random
 import typing
 
+import basaltport.consensus.log as log
+import basaltport.consensus.sizes as sizes
+import basaltport.consensus.state_machine as state_machine
 import basaltport.events as events
 import basaltport.identifiers as identifiers
-import basaltport.text as text
 
 
 @dataclasses.dataclass(slots=True, eq=False)
@@ -130,8 +132,8 @@
 
     def write(
         self: Durable,
-        records: list[typing.Any],
-        whole: dict[str, typing.Any] | None = None,
+        records: list[log.DiskRecord],
+        whole: state_machine.ReplicatedState | None = None,
         then: collections.abc.Iterable[object] = (),
     ) -> None:
         """Ask for records to be synced; `then` are effects held back until they are."""
@@ -140,7 +142,11 @@
             return
         self.token += 1
         self.after[self.token] = (self.head(), list(then), whole is not None)
-        self.stalled[self.token] = (self.now, self.ticks, text.size(records) + text.size(whole or {}))
+        self.stalled[self.token] = (
+            self.now,
+            self.ticks,
+            sum(map(sizes.record_size, records)) + sizes.copy_size(whole),
+        )
         self.synced_promise.append(self.promised)
         self.emit(events.Write(self.token, records, whole))
 
--- a/basaltport/messages.py
+++ b/basaltport/messages.py
@@ -4,10 +4,15 @@
 import dataclasses
 import typing
 
+import basaltport.consensus.log as log
+import basaltport.consensus.state_machine as state_machine
 import basaltport.identifiers as identifiers
 
 Document = dict[str, typing.Any]
 Rows = list[typing.Any]
+Entries = list[log.LogEntry]
+StateCopy = state_machine.ReplicatedState | None
+FeedState = state_machine.ClusterState | None
 
 
 class Message(typing.Protocol):
@@ -88,7 +93,7 @@
 
     gen: identifiers.Term
     seat: identifiers.MemberId
-    copy: Document
+    copy: StateCopy
 
 
 @message(6)
@@ -104,8 +109,8 @@
     cgen: identifiers.Term
     pgen: identifiers.Term
     pserial: identifiers.LogIndex
-    entries: Rows
-    copy: Document
+    entries: Entries
+    copy: StateCopy
     age: identifiers.Millis
     echo: int
 
--- a/basaltport/model/checks.py
+++ b/basaltport/model/checks.py
@@ -1,6 +1,7 @@
 """The model's checks, run after every step of every member and every quarter of a second."""
 
 import collections
+import dataclasses
 import typing
 
 import basaltport.consensus.quorum as quorum
@@ -68,20 +69,23 @@
 
     def _came_in_force(self, node: nodes.Node, was: int) -> None:
         b = node.member.book
-        if b["serial"] < was:
-            self._broken(Rule.BACK, node=node.name, was=was, serial=b["serial"])
-        key = (tuple(b["gen"]), str(b["manifest"]), sorted(b["drains"]), sorted(b["roster"]))
-        if self.in_force.setdefault(b["serial"], key) != key:
-            self._broken(Rule.AGREED, node=node.name, serial=b["serial"])
+        serial = b.log_index
+        if serial < was:
+            self._broken(Rule.BACK, node=node.name, was=was, serial=serial)
+        key = (tuple(b.term), str(b.configuration), sorted(b.evacuated_zones), sorted(b.members))
+        if self.in_force.setdefault(serial, key) != key:
+            self._broken(Rule.AGREED, node=node.name, serial=serial)
         if not node.disk:
             return
-        if self.books.setdefault(b["serial"], b) != b:
-            differ = [k for k in b if b[k] != self.books[b["serial"]].get(k)]
-            self._broken(Rule.AGREED, node=node.name, serial=b["serial"], differ=differ)
-        self.generations[b["serial"]] = tuple(b["gen"])
-        if b["serial"] > self.top:
-            self.top, self.roster = b["serial"], set(quorum.voters(b))
-        self.taken |= b["changes"].keys()
+        known = self.books.setdefault(serial, b)
+        if known != b:
+            names = [field.name for field in dataclasses.fields(b)]
+            differ = [name for name in names if getattr(b, name) != getattr(known, name)]
+            self._broken(Rule.AGREED, node=node.name, serial=serial, differ=differ)
+        self.generations[serial] = tuple(b.term)
+        if serial > self.top:
+            self.top, self.roster = serial, set(quorum.voters(b))
+        self.taken |= b.recent_changes.keys()
         self._repeats()
 
     def _repeats(self) -> None:
@@ -95,9 +99,9 @@
 
     def _logs_agree(self, node: nodes.Node) -> None:
         for e in node.member.tail:
-            known = self.entries.setdefault((e["s"], tuple(e["g"])), e["op"])
-            if known is not e["op"] and known != e["op"]:
-                self._broken(Rule.LOG, node=node.name, serial=e["s"])
+            known = self.entries.setdefault((e.index, tuple(e.term)), e.operation)
+            if known is not e.operation and known != e.operation:
+                self._broken(Rule.LOG, node=node.name, serial=e.index)
 
     # leaders
 
@@ -114,8 +118,8 @@
     def _complete(self, node: nodes.Node) -> None:
         """A new leader's log has all that was in force anywhere."""
         m = node.member
-        have = {e["s"]: tuple(e["g"]) for e in m.tail}
-        for s in range(m.book["serial"] + 1, self.top + 1):
+        have = {e.index: tuple(e.term) for e in m.tail}
+        for s in range(m.book.log_index + 1, self.top + 1):
             if s in self.generations and have.get(s) != self.generations[s]:
                 self._broken(Rule.AGREED, node=node.name, serial=s, leader=True)
 
@@ -152,7 +156,7 @@
         words = self.words.get((node.name, node.life, m.promised), {})
         tip = m.tip()
         have = {s for s, at in words.items() if at >= since} | {m.me.seat}
-        rosters = [tip["roster"], *([tip["former"]] if "former" in tip else [])]
+        rosters = [tip.members] if tip.former_members is None else [tip.members, tip.former_members]
         return all(2 * len(have & roster.keys()) > len(roster) for roster in rosters)
 
     def answers(self, node: nodes.Node, call: str, status: int, body: dict[str, typing.Any]) -> None:
@@ -217,8 +221,8 @@
         if at > self.world.now - CATCH_UP_MS or self.world.well_since > at:
             return
         for node, since in well:
-            if since <= at and node.member.book["serial"] < top:
-                self._broken(Rule.CATCH_UP, node=node.name, serial=node.member.book["serial"], top=top)
+            if since <= at and node.member.book.log_index < top:
+                self._broken(Rule.CATCH_UP, node=node.name, serial=node.member.book.log_index, top=top)
 
     # at the end
 
--- a/basaltport/model/durable.py
+++ b/basaltport/model/durable.py
@@ -1,9 +1,8 @@
 """What each member's disk holds for sure, told by the disk itself and not by the member's own account."""
 
 import dataclasses
-import typing
 
-import basaltport.consensus.book as book
+import basaltport.consensus.log as log
 import basaltport.identifiers as identifiers
 import basaltport.messages as messages
 import basaltport.simulation.routes.nodes as nodes
@@ -11,9 +10,8 @@
 Entry = tuple[int, tuple[int, str]]
 
 
-def _key(entry: dict[str, typing.Any]) -> Entry:
-    count, name = entry["g"]
-    return entry["s"], (count, name)
+def _key(entry: log.LogEntry) -> Entry:
+    return entry.index, (entry.term.count, entry.term.name)
 
 
 @dataclasses.dataclass(slots=True)
@@ -42,17 +40,17 @@
         m = node.member
         entries = [_key(e) for e in m.tail]
         held = self.held[node.name] = Held()
-        held.add([m.promised], [*entries, (m.book["serial"], tuple(m.book["gen"]))])
+        held.add([m.promised], [*entries, (m.book.log_index, tuple(m.book.term))])
 
-    def asked(self, node: nodes.Node, token: int, records: list[dict[str, typing.Any]], whole: bool) -> None:
+    def asked(self, node: nodes.Node, token: int, records: list[log.DiskRecord], whole: bool) -> None:
         """A write was handed to the disk; with `whole`, of all that the member has."""
         m = node.member
-        promised = [identifiers.Term(*r["promise"]) for r in records if "promise" in r]
-        entries = [_key(r["entry"]) for r in records if "entry" in r]
+        promised = [record.term for record in records if isinstance(record, log.TermRecord)]
+        entries = [_key(record.entry) for record in records if isinstance(record, log.EntryRecord)]
         if whole:
             promised.append(m.promised)
             entries += [_key(e) for e in m.tail]
-            entries.append((m.book["serial"], tuple(book.gen(m.book))))
+            entries.append((m.book.log_index, tuple(m.book.term)))
         self.writes[node.name, node.life, token] = promised, entries
 
     def synced(self, node: nodes.Node, token: int, ok: bool) -> None:
--- a/basaltport/proxy/interfaces.py
+++ b/basaltport/proxy/interfaces.py
@@ -4,6 +4,7 @@
 import random
 import typing
 
+import basaltport.consensus.state_machine as state_machine
 import basaltport.identifiers as identifiers
 import basaltport.member as member
 import basaltport.proxy.retry_budget as retry_budget
@@ -26,7 +27,7 @@
     ending: bool
     table: routing.Table
     rows: dict[str, Row]
-    book: Row
+    book: state_machine.ClusterState
     requests: dict[int, request.Request]
     waiting: dict[int, request.Request]
     tally: dict[str, int]
--- a/basaltport/proxy/node.py
+++ b/basaltport/proxy/node.py
@@ -5,6 +5,7 @@
 import random
 
 import basaltport.cold_start.decision as cold_start
+import basaltport.consensus.state_machine as state_machine
 import basaltport.events as base
 import basaltport.fleet.follow as follow
 import basaltport.identifiers as identifiers
@@ -67,7 +68,7 @@
     me: member.Me
     now: identifiers.Millis
     rng: random.Random
-    book: interfaces.Row
+    book: state_machine.ClusterState
     rows: dict[str, interfaces.Row]
 
     def __init__(
--- a/basaltport/shell.py
+++ b/basaltport/shell.py
@@ -45,7 +45,7 @@
     def do_write(self, e):
         whole = None
         if e.whole is not None:
-            whole = {"parts": journal.parts({"promised": self.member.promised, **e.whole})}
+            whole = journal.parts(journal.Snapshot(e.whole, self.member.promised))
         self.writes.append((e.token, [journal.encode(r) for r in e.records], whole))
         if not self.writing:
             self.write_next()
--- a/basaltport/simulation/query_api/world/world.py
+++ b/basaltport/simulation/query_api/world/world.py
@@ -10,6 +10,7 @@
 import basaltport.member as member
 import basaltport.simulation.query_api.standins.backend as backend
 import basaltport.simulation.query_api.world.senders as senders
+import basaltport.consensus.journal as journal
 import basaltport.simulation.virtual_disk as simdisk
 import basaltport.query_api.query_proxy.role as rostrum
 
@@ -294,7 +295,7 @@
     def do_write(self, n, e):
         whole = None
         if e.whole is not None:
-            whole = {"promised": list(n.member.promised), **e.whole, "tail": list(e.whole["tail"])}
+            whole = journal.Snapshot(e.whole, n.member.promised)
         n.disk.write(e.token, e.records, whole)
         self.sync_next(n)
 
--- a/basaltport/simulation/routes/nodes.py
+++ b/basaltport/simulation/routes/nodes.py
@@ -11,6 +11,7 @@
 import basaltport.controller.node as role
 import basaltport.identifiers as identifiers
 import basaltport.member as member
+import basaltport.consensus.journal as journal
 import basaltport.simulation.virtual_disk as simdisk
 
 TICK = 50
@@ -303,7 +304,7 @@
     def do_write(self, n: Node, e: typing.Any) -> None:
         whole = None
         if e.whole is not None:
-            whole = {"promised": list(n.member.promised), **e.whole, "tail": list(e.whole["tail"])}
+            whole = journal.Snapshot(e.whole, n.member.promised)
         n.disk.write(e.token, e.records, whole)
         self.sync_next(n)
 
--- a/basaltport/simulation/virtual_disk.py
+++ b/basaltport/simulation/virtual_disk.py
@@ -1,16 +1,16 @@
 """A member's disk on virtual time: bytes are safe only once synced; power loss may tear what was not."""
 
-import json
-import typing
-
 import result
 
 import basaltport.consensus.journal as journal
+import basaltport.consensus.log as log
 import basaltport.consensus.record_framing as record_framing
+import basaltport.consensus.snapshot_store as snapshot_store
+import basaltport.consensus.state_machine as state_machine
 import basaltport.consensus.write_ahead_log as write_ahead_log
 import basaltport.identifiers as identifiers
 
-Queued = tuple[int, bytes, str | None]
+Queued = tuple[int, bytes, dict[str, bytes] | None]
 
 
 class SimDisk:
@@ -19,7 +19,7 @@
 
     def __init__(self, rng):
         self.rng = rng
-        self.snap = json.dumps(journal.empty())
+        self.snap = journal.parts(journal.empty())
         self.safe = b""
         self.queue: list[Queued] = []
         self.syncing = 0
@@ -29,10 +29,10 @@
         self.full = False
         self.broken = False
 
-    def write(self, token: int, records: list[record_framing.Record], whole: dict | None) -> None:
+    def write(self, token: int, records: list[log.DiskRecord], whole: journal.Snapshot | None) -> None:
         """Takes a write; it is safe only when `done` is called for it."""
         raw = record_framing.encode_batch([record_framing.encode(r) for r in records]) if records else b""
-        self.queue.append((token, raw, json.dumps(whole) if whole is not None else None))
+        self.queue.append((token, raw, journal.parts(whole) if whole is not None else None))
 
     def lapse(self, now: int) -> int:
         return now + self.rng.randrange(1, 6) * self.slow
@@ -94,13 +94,12 @@
             return raw[:cut]
         return bytes(cut) + raw[cut:]
 
-    def load(self) -> result.Result[tuple[dict[str, typing.Any], identifiers.Term], str]:
+    def load(self) -> result.Result[tuple[state_machine.ReplicatedState, identifiers.Term], str]:
         """As a start reads it: Ok((held, promised)) or Err. The cut log can be appended to again."""
         got = record_framing.scan(self.safe)
         if got.is_err():
             return got
         self.safe = self.safe[: got.ok_value.length]
         self.broken = False
-        state = write_ahead_log.replay(json.loads(self.snap), got.ok_value.records)
-        held = {"book": state["book"], "tail": state["tail"]}
-        return result.Ok((held, identifiers.Term(*state["promised"])))
+        snapshot = write_ahead_log.replay(snapshot_store.decode(self.snap), got.ok_value.records)
+        return result.Ok((snapshot.held, snapshot.current_term))
--- a/basaltport/text.py
+++ b/basaltport/text.py
@@ -38,15 +38,9 @@
     return b"{" + b",".join(plain(k) + b":" + _part(k, v) for k, v in doc.items()) + b"}"
 
 
-def size(doc: object) -> int:
-    """About how many bytes the text has; only a manifest's own are counted exactly."""
-    if type(doc) is list:
-        return sum(size(x) for x in doc)
-    if type(doc) is not dict:
-        return SCALAR_SIZE
-    return (
-        sum((len(_once(v)) if k == "manifest" else size(v)) for k, v in doc.items() if k in HEAVY) + OVERHEAD
-    )
+def size_of_configuration(configuration: object) -> int:
+    """How many bytes the text of a configuration has."""
+    return len(_once(configuration))
 
 
 def _part(k: str, v: object) -> bytes:
--- a/tests/crash_states.py
+++ b/tests/crash_states.py
@@ -8,12 +8,13 @@
 import typing
 import unittest.mock
 
-import basaltport.consensus.book as book
 import basaltport.consensus.durable_files as durable_files
 import basaltport.consensus.journal as journal
+import basaltport.consensus.log as log
 import basaltport.consensus.member_identity as member_identity
 import basaltport.consensus.record_framing as record_framing
 import basaltport.consensus.snapshot_store as snapshot_store
+import basaltport.consensus.state_machine as state_machine
 import basaltport.consensus.write_ahead_log as write_ahead_log
 import basaltport.identifiers as identifiers
 import tests.crash_files as crash_files
@@ -81,29 +82,32 @@
             self, serial=serial, tail=tuple(held for held in self.tail if held[0] > serial)
         )
 
-    def add(self, record: record_framing.Record) -> "Model":
-        if "promise" in record:
-            return self.promise(record["promise"][0])
-        return self.entry(record["entry"]["s"], record["entry"]["g"][0])
+    def add(self, record: log.DiskRecord) -> "Model":
+        if isinstance(record, log.TermRecord):
+            return self.promise(record.term.count)
+        return self.entry(record.entry.index, record.entry.term.count)
 
-    def state(self) -> snapshot_store.State:
+    def state(self) -> snapshot_store.Snapshot:
         """The whole of it; each part of the book tells its serial, so that a mixture shows."""
-        manifest = {"edition": self.serial, "text": "x" * 40}
-        changes = {f"c{self.serial}": self.serial}
-        b = {"serial": self.serial, "manifest": manifest, "changes": changes}
-        if self.serial % 2:
-            b["slices"] = {}
-        tail = [entry(*held)["entry"] for held in self.tail]
-        return {"book": b, "tail": tail, "promised": [self.promised, "n" if self.promised else ""]}
+        shards = {"0": state_machine.Shard("n", self.serial, None)} if self.serial % 2 else {}
+        state = state_machine.ClusterState(
+            log_index=identifiers.LogIndex(self.serial),
+            configuration={"edition": self.serial, "text": "x" * 40},
+            recent_changes={f"c{self.serial}": self.serial},
+            shards=shards,
+        )
+        tail = tuple(entry(*held).entry for held in self.tail)
+        term = identifiers.Term(self.promised, "n" if self.promised else "")
+        return snapshot_store.Snapshot(state_machine.ReplicatedState(state, tail), term)
 
 
-def entry(serial: int, term: int) -> record_framing.Record:
-    op = {"op": "patch", "patch": {"of": [serial, term]}}
-    return {"entry": book.entry(serial, identifiers.Term(term, "n"), op)}
+def entry(serial: int, term: int) -> log.EntryRecord:
+    operation = log.ConfigurationMerged({"of": [serial, term]})
+    return log.EntryRecord(log.LogEntry(identifiers.LogIndex(serial), identifiers.Term(term, "n"), operation))
 
 
-def promise(term: int) -> record_framing.Record:
-    return {"promise": [term, "n"]}
+def promise(term: int) -> log.TermRecord:
+    return log.TermRecord(identifiers.Term(term, "n"))
 
 
 def model_of(recovered: journal.Recovered) -> Model:
@@ -111,10 +115,11 @@
     if recovered.held is None:
         assert recovered.promised == identifiers.Term()
         return Model()
-    b, tail = recovered.held["book"], recovered.held["tail"]
-    model = Model(b["serial"], tuple((e["s"], e["g"][0]) for e in tail), recovered.promised.count)
-    assert tail == model.state()["tail"]
-    assert b == {**book.new(), **model.state()["book"]} or model.serial == 0 and b == book.new()
+    state, tail = recovered.held.cluster_state, recovered.held.uncommitted
+    model = Model(state.log_index, tuple((e.index, e.term.count) for e in tail), recovered.promised.count)
+    expected = model.state().held
+    assert tail == expected.uncommitted
+    assert state == expected.cluster_state or model.serial == 0 and state == state_machine.ClusterState()
     return model
 
 
@@ -186,13 +191,13 @@
         self.failed = False
         self.cut("opened")
 
-    def append(self, *records: record_framing.Record) -> None:
+    def append(self, *records: log.DiskRecord) -> None:
         self.write((records, False))
 
-    def switch(self, *records: record_framing.Record) -> None:
+    def switch(self, *records: log.DiskRecord) -> None:
         self.write((records, True))
 
-    def write(self, *batch: tuple[typing.Sequence[record_framing.Record], bool]) -> None:
+    def write(self, *batch: tuple[typing.Sequence[log.DiskRecord], bool]) -> None:
         """Each item: records, and whether a snapshot goes before them. As the reducer does, after a failure
         only a snapshot counts again."""
         calls, reached, model = [], [self.model], self.model
@@ -200,7 +205,7 @@
             if with_snapshot:
                 model = model.agreed(model.tail[-1][0] if model.tail else model.serial)
                 reached = [point for point in reached if point in snapshots(calls, self.model)] + [model]
-            whole = {"parts": journal.parts(model.state())} if with_snapshot else None
+            whole = journal.parts(model.state()) if with_snapshot else None
             calls.append((token, [journal.encode(record) for record in records], whole, model))
             for record in records:
                 model = model.add(record)
--- a/tests/model_mutations.py
+++ b/tests/model_mutations.py
@@ -9,12 +9,14 @@
 import typing
 import unittest.mock
 
-import basaltport.consensus.book as book
+import basaltport.consensus.codec as codec
 import basaltport.consensus.campaign as campaign
 import basaltport.consensus.lead as lead
+import basaltport.consensus.log as log
 import basaltport.consensus.quorum as quorum
 import basaltport.consensus.roster as roster
 import basaltport.consensus.seat as seat
+import basaltport.consensus.state_machine as state_machine
 import basaltport.consensus.timing as timing
 import basaltport.consensus.voters as voters
 import basaltport.fleet.follow as follow
@@ -157,7 +159,7 @@
 
 def append_over(self, op):
     """In place of an entry of this term that is not agreed yet."""
-    if len(self.tail) > 1 and book.gen_of(self.tail[-1]) == self.promised:
+    if len(self.tail) > 1 and self.tail[-1].term == self.promised:
         self.tail.pop()
     return append_as_is(self, op)
 
@@ -179,7 +181,7 @@
 
 
 def one_roster(b):
-    return [b["roster"].keys()]
+    return [b.members.keys()]
 
 
 def add_in_one_step(self, seats):
@@ -187,25 +189,27 @@
     if s is None:
         return False
     row = self.learners[s]
-    old = [x for x, r in seats.items() if r["name"] == row["name"]]
-    self.append({"op": "roster", "swap": [[old[0], row]]} if old else {"op": "roster", "add": row})
+    row = codec.decode_member(row)
+    old = [x for x, r in seats.items() if r.name == row.name]
+    replaced = log.MembersChanged((log.Replacement(old[0], row),)) if old else None
+    self.append(replaced or log.MembersChanged(added=row))
     return True
 
 
 def install_older(self, copy):
-    self.book, self.tail = copy["book"], list(copy["tail"])
+    self.book, self.tail = copy.cluster_state, list(copy.uncommitted)
     self.write([], whole=self.copy())
     self.in_force()
 
 
 def feed_old_copies(self, s):
     """Now and then a copy as it was some entries ago."""
-    if self.book["serial"] % 3 == 0 and self.past:
+    if self.book.log_index % 3 == 0 and self.past:
         self.needs.add(s)
     es, copy, pg, ps = load_as_is(self, s)
     if copy and getattr(self, "older", None):
         copy = self.older
-    self.older = {"book": self.book, "tail": []}
+    self.older = state_machine.ReplicatedState(self.book)
     return es, copy, pg, ps
 
 
@@ -213,18 +217,19 @@
 
 
 def copy_without_changes(self):
-    return {"book": {**self.book, "changes": {}}, "tail": list(self.tail)}
+    forgetful = dataclasses.replace(self.book, recent_changes={})
+    return state_machine.ReplicatedState(forgetful, tuple(self.tail))
 
 
-def apply_forgetting(b, op, s):
-    b["changes"] = {op["change"]: s}
+def apply_forgetting(state, operation, index):
+    return {"recent_changes": {operation.change_id: index}}
 
 
 def take_any_book(self, m):
     if m.copy:
-        self.book = {**book.new(), **m.copy}
+        self.book = m.copy
     for e in m.entries:
-        self.book = book.apply(self.book, e)
+        self.book = state_machine.apply(self.book, e)
 
 
 def hear_hello_raises(self, src, m):
@@ -348,7 +353,7 @@
     Mutation(
         "change ids forgotten",
         {Rule.REPEAT, Rule.HISTORY},
-        [(book, "_remember", apply_forgetting)],
+        [(state_machine, "_remember", apply_forgetting)],
         range(1, 60),
     ),
     Mutation(
--- a/tests/node.py
+++ b/tests/node.py
@@ -4,7 +4,8 @@
 
 import basaltport.events as events
 import basaltport.identifiers as identifiers
-import basaltport.consensus.book as book
+import basaltport.consensus.log as log
+import basaltport.consensus.state_machine as state_machine
 import basaltport.member as member
 import basaltport.messages as messages
 import basaltport.query_api.query_proxy.role as role
@@ -47,13 +48,15 @@
         self.now = 1_000_000
         me = member.Me("house", "r1", "r1-s", "rostrum", "z1", "a:1", "a:2", ["a:9"], 3)
         self.r = role.QueryNode(me, 1, self.now)
-        b = book.new()
         rows = [("r1-s", "rostrum", "a:1"), ("st-s", "rostrum", "b:1"), ("le-s", "ledger", "c:1")]
-        b["roster"] = {s: {"name": s[:2], "seat": s, "role": r, "zone": "z1", "addr": a} for s, r, a in rows}
-        b["manifest"], b["mserial"], b["serial"] = m or manifest(**line), 3, 4
-        b["platform"] = {f"x{i}": {"url": f"http://9.9.9.{i}:1", "zone": "z1", "group": "g"} for i in (1, 2)}
-        b["duties"] = {"zone/z1": {"owner": "st-s", "fence": 5, "first": True}}
-        self.r.book = b
+        self.r.book = state_machine.ClusterState(
+            log_index=identifiers.LogIndex(4),
+            configuration=m or manifest(**line),
+            configuration_version=identifiers.LogIndex(3),
+            members={s: log.MemberRecord(s[:2], s, r, "z1", a) for s, r, a in rows},
+            listed_replicas={f"x{i}": log.ListedReplica(f"http://9.9.9.{i}:1", "z1", "g") for i in (1, 2)},
+            role_owners={"zone/z1": state_machine.RoleOwner("st-s", 5, True)},
+        )
         self.r.in_force()
         self.r.lease_end = 10**12
         self.r.first_lease = 1
--- a/tests/stored_forms.py
+++ b/tests/stored_forms.py
@@ -170,7 +170,8 @@
     every = entries([*OF_ALL_MEMBERS, *OF_DISK_MEMBERS], 3, 40)
     newer = held["from_a_newer_release"]
     feed = {k: book[k] for k in BOOK_PARTS if k in book}
-    older_feed = {k: v for k, v in held["all_in_snapshot"]["book"].items() if k in BOOK_PARTS}
+    older = held["all_in_snapshot"]["book"]
+    older_feed = {k: older[k] for k in BOOK_PARTS if k in older}
     known = [FIRST, row("second", number=2, rack="r7"), NODES[0]]
     cell_rows = {"r1": {"up": True, "room": 50}, "r1|m": "loaded"}
     head = [G, "first-1", "first", "10.0.0.1:7000", 17, 40]
--- a/tests/test_control_scenarios.py
+++ b/tests/test_control_scenarios.py
@@ -1,8 +1,10 @@
 """Control machines in trouble on fixed seeds, at the sizes of both deployments; each check is seen red."""
 
+import dataclasses
+
 import pytest
 
-import basaltport.consensus.book as book
+import basaltport.consensus.state_machine as state_machine
 import basaltport.consensus.elect as elect
 import basaltport.consensus.feed as feed
 import basaltport.consensus.timing as timing
@@ -97,8 +99,8 @@
     return (412, {"error": "edition"}) if self.now % 3 == 0 else got
 
 
-def _forgets_changes(b, op, s):
-    pass
+def _forgets_changes(state, operation, index):
+    return {}
 
 
 def _falls_back(self):
@@ -109,7 +111,7 @@
         return
     first = self.__dict__.setdefault("first_document", document)
     if self.book["mserial"] % 10 == 0:
-        self.book = {**self.book, "manifest": first}
+        self.book = dataclasses.replace(self.book, configuration=first)
 
 
 def _only_founding(self, got):
@@ -118,7 +120,7 @@
 
 def _sends_no_copy(self, s):
     entries, copy, gen, serial = _load_for(self, s)
-    return (entries, {}, gen, serial) if copy else (entries, copy, gen, serial)
+    return (entries, None, gen, serial) if copy else (entries, copy, gen, serial)
 
 
 NEVER_STEPS_DOWN = [(timing, "STEP_DOWN", 10**6), (timing, "LEADER_LEASE", 10**6)]
@@ -137,7 +139,7 @@
     ("keeper-back", "leader-cut-20s", [(role.Controller, "in_force", _falls_back)]),
     ("two-confirmed", "two-operators-one-number", [(*JUDGED, _no_comparison)]),
     ("refused-but-taken", "two-operators-one-number", [(*JUDGED, _taken_though_refused)]),
-    ("repeat-refused", "two-operators-one-number", [(book, "_remember", _forgets_changes)]),
+    ("repeat-refused", "two-operators-one-number", [(state_machine, "_remember", _forgets_changes)]),
     ("majority", "loss-in-unplanned-replacement", [(elect.ElectMixin, "quorum", _only_founding)]),
     ("caught-up", "two-megabytes-over-a-slow-link", [(feed.FeedMixin, "load_for", _sends_no_copy)]),
 ]
--- a/tests/test_controller_faults.py
+++ b/tests/test_controller_faults.py
@@ -1,5 +1,8 @@
 """Controllers in trouble: frozen, cut off, slow or stalled disks, and all of it at random."""
 
+import dataclasses
+
+import basaltport.consensus.state_machine as state_machine
 import pytest
 
 import basaltport.events as base
@@ -168,7 +171,7 @@
     w = world(editions=2)
     w.run(300)
     m, f = w.nodes[w.leader()].member, w.nodes[others(w)[0]]
-    late = {"book": {**m.book, "serial": 1}, "tail": []}
+    late = state_machine.ReplicatedState(dataclasses.replace(m.book, log_index=1))
     b = f.member.leader
     for n in (1, b.n):
         beat = messages.Beat(b.gen, b.seat, b.name, b.addr, n, 1, b.gen, b.gen, 1, [], late, 0, 0)
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -7,16 +7,23 @@
 import hypothesis.strategies as st
 
 import basaltport.identifiers as identifiers
-import basaltport.consensus.book as book
 import basaltport.consensus.journal as journal
+import basaltport.consensus.log as log
 import basaltport.consensus.member_identity as member_identity
 import basaltport.consensus.record_framing as record_framing
+import basaltport.consensus.state_machine as state_machine
 
 G = identifiers.Term(1, "l")
 
 
 def entries(n, at=1):
-    return [{"entry": book.entry(s, G, {"op": "ledgers", "ledgers": [f"l{s}"]})} for s in range(at, at + n)]
+    return [log.EntryRecord(log.LogEntry(s, G, log.DiskMembersSet((f"l{s}",)))) for s in range(at, at + n)]
+
+
+def holding(records):
+    """A snapshot with the entries of some records."""
+    held = state_machine.ReplicatedState(uncommitted=tuple(record.entry for record in records))
+    return journal.Snapshot(held)
 
 
 def disk(path, name="l"):
@@ -27,7 +34,7 @@
 def held(path):
     d, got = disk(path)
     d.close()
-    return [e["s"] for e in got.ok_value.held["tail"]]
+    return [e.index for e in got.ok_value.held.uncommitted]
 
 
 def filled(path, n=5):
@@ -49,7 +56,7 @@
     with open(f, "r+b") as x:
         x.truncate(os.path.getsize(f) - 7)
     d, got = disk(tmp_path)
-    assert [e["s"] for e in got.ok_value.held["tail"]] == [1, 2, 3, 4]
+    assert [e.index for e in got.ok_value.held.uncommitted] == [1, 2, 3, 4]
     d.write(entries(1, 5), None)
     d.close()
     assert held(tmp_path) == [1, 2, 3, 4, 5]
@@ -75,7 +82,7 @@
     for _ in range(2):
         d, got = disk(tmp_path)
         d.close()
-        assert [e["s"] for e in got.ok_value.held["tail"]] == [1, 2, 3, 4, 5, 6, 7]
+        assert [e.index for e in got.ok_value.held.uncommitted] == [1, 2, 3, 4, 5, 6, 7]
         assert got.ok_value.identity == member_identity.Identity("s0", ("a:1", "b:1"))
         assert not got.ok_value.new_seat
     assert json.load(open(tmp_path / "current"))["format"] == 2
@@ -95,7 +102,7 @@
     d, got = disk(tmp_path)
     d.close()
     assert got.ok_value.new_seat and got.ok_value.identity == member_identity.Identity("s1")
-    assert len(got.ok_value.held["tail"]) == 5
+    assert len(got.ok_value.held.uncommitted) == 5
     again = journal.Disk(str(tmp_path), "l").open(member_identity.Identity("s2", ("a:1",)))
     assert again.ok_value.identity == member_identity.Identity("s1") and not again.ok_value.new_seat
 
@@ -131,7 +138,7 @@
 
 def test_a_damaged_snapshot_is_refused(tmp_path):
     d, _ = disk(tmp_path)
-    d.write([], {**journal.empty(), "tail": [entries(1)[0]["entry"]]})
+    d.write([], holding(entries(1)))
     d.close()
     f = os.path.join(tmp_path, f"snap.{d.number}.dat")
     raw = open(f, "rb").read()
@@ -183,7 +190,7 @@
             raise AssertionError
         except OSError:
             monkeypatch.setattr(os, "fsync", sync)
-    d.write([], {**journal.empty(), "tail": [e["entry"] for e in entries(3)]})
+    d.write([], holding(entries(3)))
     d.write(entries(1, 4), None)
     d.close()
     assert held(tmp_path) == [1, 2, 3, 4]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,7 +1,10 @@
 """The feed from the leader to proxies: complete once, then what changed, never back, and kept unled."""
 
+import dataclasses
+
 import basaltport.consensus.feed as feed
-import basaltport.consensus.book as book
+import basaltport.consensus.log as log
+import basaltport.consensus.state_machine as state_machine
 import basaltport.events as events
 import basaltport.fleet.messages as messages
 import basaltport.fleet.publish as publish
@@ -85,8 +88,8 @@
 def test_what_does_not_join_on_is_left_and_asked_for_at_once():
     w, (p, _) = world()
     w.run(150)
-    k, s, n = lead(w), book.serial(p.book), p.feed_n
-    m = messages.Update(p.feed_gen, "", "", [], s, [], {}, False, n + 1, n + 2, {"x": {}}, [], 2)
+    k, s, n = lead(w), p.book.log_index, p.feed_n
+    m = messages.Update(p.feed_gen, "", "", [], s, [], None, False, n + 1, n + 2, {"x": {}}, [], 2)
     out = p.step(events.Heard(w.now, "", m))
     assert set(p.rows) == {"r1"} and p.feed_n == n
     assert [(e.addr, e.msg.seen) for e in out] == [(k.me.addr, n)]
@@ -95,8 +98,8 @@
 def test_a_proxy_never_goes_back():
     w, (p, _) = world(editions=3)
     old = lead(w)
-    gen, at = p.feed_gen, book.serial(p.book)
-    stale = {**p.book, "serial": at - 1, "manifest": controllers.document(2)}
+    gen, at = p.feed_gen, p.book.log_index
+    stale = dataclasses.replace(p.book, log_index=at - 1, configuration=controllers.document(2))
     for g, n in ((identifiers.Term(gen.count - 1, "k9"), 99), (gen, 0)):
         m = messages.Update(
             g, old.me.name, old.me.addr, [], identifiers.LogIndex(at - 1), [], stale, True, -1, n, {}, [], 9
@@ -216,13 +219,14 @@
 def test_a_book_that_began_as_a_copy_takes_every_kind_of_entry():
     w, ps = world(1)
     whole = lead(w).book
-    copy = {**book.new(), **{k: whole[k] for k in publish.COPIED if k in whole}}
-    ripe = {"op": "slices", "ripe": sorted(whole["slices"])}
-    give = {"op": "slices", "give": {k: r["owner"] for k, r in whole["slices"].items()}}
-    for op in (ripe, give, {"op": "drain", "zone": "z"}, {"op": "undrain", "zone": "z"}):
-        e = book.entry(whole["serial"] + 1, identifiers.Term(*whole["gen"]), op)
-        a, b = book.apply(whole, e), book.apply(copy, e)
-        assert {k: a[k] for k in publish.COPIED if k in a} == {k: b[k] for k in publish.COPIED if k in a}
+    copy = publish.feed_part(whole)
+    assert copy.shards and copy.members and copy.configuration and copy.voting
+    settled = log.ShardsAssigned(settled=tuple(sorted(whole.shards)))
+    given = log.ShardsAssigned({k: shard.owner for k, shard in whole.shards.items()})
+    for operation in (settled, given, log.ZoneEvacuated("z"), log.EvacuationWithdrawn("z")):
+        entry = log.LogEntry(whole.log_index + 1, whole.term, operation)
+        after, copy_after = state_machine.apply(whole, entry), state_machine.apply(copy, entry)
+        assert publish.feed_part(after) == publish.feed_part(copy_after) != publish.feed_part(whole)
 
 
 def test_what_is_on_its_way_over_a_slow_link_is_not_sent_again():
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -1,5 +1,6 @@
 import pytest
 
+import basaltport.consensus.log as log
 import basaltport.frames as frames
 import basaltport.identifiers as identifiers
 import basaltport.messages as messages
@@ -15,8 +16,8 @@
     GEN,
     GEN,
     identifiers.LogIndex(4),
-    [{"s": 5, "g": [3, "ledger-1"], "op": {"op": "lead"}}],
-    {},
+    [log.LogEntry(identifiers.LogIndex(5), GEN, log.TermBegun())],
+    None,
     identifiers.Millis(12),
     9,
 )
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -7,7 +7,8 @@
 
 import basaltport.events as events
 import basaltport.identifiers as identifiers
-import basaltport.consensus.book as book
+import basaltport.consensus.log as log
+import basaltport.consensus.state_machine as state_machine
 import basaltport.member as member
 import basaltport.messages as messages
 import basaltport.query_api.query_proxy.claims as claims
@@ -56,6 +57,16 @@
         self.house.held.append((self, q))
 
 
+def entry(index, operation):
+    return log.LogEntry(identifiers.LogIndex(index), identifiers.Term(1, "l"), operation)
+
+
+def restarted(house, *nodes):
+    """Nodes that come back under other ids."""
+    rows = [(k.me.seat, house.row(k.me.name, k.me.name + "-1")) for k in nodes]
+    return log.MembersChanged(tuple(log.Replacement(*row) for row in rows))
+
+
 class House:
     """Nodes that take entries of the roster at their own pace, and a bag of frames."""
 
@@ -64,13 +75,13 @@
         names = names or self.rng.choice((3, 4, 5, 6, 7))
         self.now = 1_000_000
         self.bag, self.held, self.ran, self.ended, self.n = [], [], {}, {}, 0
-        rows = {f"n{i}-0": self.row(f"n{i}", f"n{i}-0") for i in range(names)}
-        op = {"op": "found", "roster": rows, "ledgers": []}
-        self.log = [(self.now, book.apply(book.new(), book.entry(1, identifiers.Term(1, "l"), op)))]
+        rows = [f"n{i}-0" for i in range(names)]
+        op = log.ClusterFounded({s: self.row(f"n{i}", s) for i, s in enumerate(rows)}, ())
+        self.log = [(self.now, state_machine.apply(state_machine.ClusterState(), entry(1, op)))]
         self.nodes = {s: self.start(s) for s in rows}
 
     def row(self, name, seat):
-        return {"name": name, "seat": seat, "role": "rostrum", "zone": "z", "addr": seat, "http": seat}
+        return log.MemberRecord(name, seat, "rostrum", "z", seat, seat)
 
     def start(self, seat):
         k = KeyHolder(self, seat.split("-")[0], seat)
@@ -83,11 +94,11 @@
 
     def agree(self, op):
         b = self.tip()
-        self.log.append((self.now, book.apply(b, book.entry(b["serial"] + 1, identifiers.Term(1, "l"), op))))
+        self.log.append((self.now, state_machine.apply(b, entry(b.log_index + 1, op))))
 
     def take(self, k):
         """A node applies a few more entries, or jumps to the newest."""
-        at = [b["serial"] for _, b in self.log].index(k.book["serial"])
+        at = [b.log_index for _, b in self.log].index(k.book.log_index)
         more = self.log[at + 1 :]
         if more:
             k.book = more[self.rng.randrange(len(more))][1]
@@ -95,7 +106,7 @@
 
     def leased(self, k):
         """A lease is lost at the latest LEASE after an entry that the node has not applied."""
-        late = [t for t, b in self.log if b["serial"] > k.book["serial"]]
+        late = [t for t, b in self.log if b.log_index > k.book.log_index]
         return not late or self.now - late[0] < LEASE
 
     def do(self, k, f, *a):
@@ -142,7 +153,7 @@
             self.do(k, k.settle_claim, q, "yes", 200, {"reply": q.body["prompt"]})
 
     def roster(self):
-        seats = list(self.tip()["roster"])
+        seats = list(self.tip().members)
         live = [s for s in seats if s in self.nodes]
         x = self.rng.random()
         if x < 0.4 and len(live) > 2:
@@ -150,16 +161,16 @@
             del self.nodes[s]
             name, _, n = s.partition("-")
             new = f"{name}-{int(n) + 1}"
-            self.agree({"op": "roster", "swap": [[s, self.row(name, new)]]})
+            self.agree(log.MembersChanged((log.Replacement(s, self.row(name, new)),)))
             self.nodes[new] = self.start(new)
         elif x < 0.7 and len(seats) > 2:
             drops = self.rng.sample(seats, min(len(seats) - 1, self.rng.choice((1, 1, 1, 2, 3))))
-            self.agree({"op": "roster", "drops": drops})
+            self.agree(log.MembersChanged(removed=tuple(drops)))
         else:
             out = [s for s in self.nodes if s not in seats]
             if out:
                 s = self.rng.choice(out)
-                self.agree({"op": "roster", "add": self.row(s.split("-")[0], s)})
+                self.agree(log.MembersChanged(added=self.row(s.split("-")[0], s)))
 
     def play(self, steps):
         for n in range(steps):
@@ -215,7 +226,7 @@
     [
         (claims.ClaimMixin, "weigh_claim", _any_grant),
         (keep.KeepMixin, "join_ranges", _whole_at_once),
-        (book, "fewer", lambda new, old: False),
+        (state_machine, "needs_fewer", lambda new, old: False),
     ],
     ids=("any-grant", "whole-at-once", "no-fewer"),
 )
@@ -257,7 +268,7 @@
 def test_a_new_keeper_holds_every_claim_that_it_was_told_of():
     h, kid, (a, b, c) = _keepers()
     assert _claim(h, a, kid, "x") == _claim(h, b, kid, "y") == "granted"
-    h.agree({"op": "roster", "swap": [[c.me.seat, h.row(c.me.name, c.me.name + "-1")]]})
+    h.agree(restarted(h, c))
     n = h.nodes[c.me.name + "-1"] = h.start(c.me.name + "-1")
     assert _claim(h, n, kid, "x", at=2) == "blank"
     h.take(a)
@@ -284,7 +295,7 @@
     q = query.Query("q1", "l", "s", "m", {}, h.now, h.now + 8000, Rule)
     h.do(a, a.begin_claim, q, events.Arrived(h.now, "q1", "l", "t", {}, -1, "k"))
     q.claim.rest = (0, None)
-    h.agree({"op": "roster", "swap": [[s.me.seat, h.row(s.me.name, s.me.name + "-1")] for s in (b, c)]})
+    h.agree(restarted(h, b, c))
     h.take(a)
     old = messages.Claimed(a.me.seat, "q1", 1, "granted", 0, {}, "", 0)
     for s in (a, b, c):
@@ -303,7 +314,7 @@
 
 def test_too_many_keepers_lost_at_once_is_unknown_until_what_they_knew_has_lapsed():
     h, kid, (a, b, c) = _keepers()
-    h.agree({"op": "roster", "swap": [[s.me.seat, h.row(s.me.name, s.me.name + "-1")] for s in (b, c)]})
+    h.agree(restarted(h, b, c))
     h.take(a)
     new = [h.start(s.me.name + "-1") for s in (b, c)]
     assert [_claim(h, k, kid, "x", at=2) for k in new] == ["blank", "blank"]
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -6,8 +6,9 @@
 import basaltport.configuration.check as check
 import basaltport.configuration.rules as rules
 import basaltport.frames as frames
-import basaltport.consensus.book as book
 import basaltport.consensus.journal as journal
+import basaltport.consensus.log as log
+import basaltport.consensus.state_machine as state_machine
 import basaltport.identifiers as identifiers
 import basaltport.messages as messages
 import basaltport.simulation.query_api.world.stage as stage
@@ -31,16 +32,15 @@
 
 def test_a_large_manifest_s_text_is_made_once_for_all_seats(monkeypatch):
     m = stage.swell(stage.example("thin.json"), 300, 10, 100)
-    e = book.entry(4, identifiers.Term(1, "l"), {"op": "manifest", "manifest": m, "change": "c"})
+    e = log.LogEntry(4, identifiers.Term(1, "l"), log.ConfigurationPut(m, change_id="c"))
     made = []
     monkeypatch.setattr(text, "plain", lambda d, plain=text.plain: made.append(d is m) or plain(d))
-    b = {**book.new(), "manifest": m}
+    held = state_machine.ReplicatedState(state_machine.ClusterState(configuration=m), (e,))
     for n in range(5):
         age, g = identifiers.Millis(0), identifiers.Term()
-        copy = {"book": b, "tail": [e]}
-        frames.pack(messages.Beat(g, "s", "n", "a", n, 1, g, g, 1, [e], copy, age, n))
-    journal.encode({"entry": e})
-    journal.parts({"book": b, "tail": [e], "promised": [0, ""]})
+        frames.pack(messages.Beat(g, "s", "n", "a", n, 1, g, g, 1, [e], held, age, n))
+    journal.encode(log.EntryRecord(e))
+    journal.parts(journal.Snapshot(held))
     assert sum(made) == 1
 
 
--- a/tests/test_log_gaps.py
+++ b/tests/test_log_gaps.py
@@ -1,14 +1,23 @@
 """A log never has a gap: not in what a member keeps, nor in what it sends, takes or applies."""
 
+import dataclasses
+
 import pytest
 
-import basaltport.consensus.book as book
+import basaltport.consensus.log as log
+import basaltport.consensus.state_machine as state_machine
 import basaltport.controller.shard_ownership as duties
+import basaltport.errors as errors
 import basaltport.identifiers as identifiers
 import basaltport.messages as messages
 import tests.controllers as controllers
 
 
+def entry(leader, index):
+    """An entry of the leader's term."""
+    return log.LogEntry(identifiers.LogIndex(index), leader.promised, log.JointChangeCompleted())
+
+
 def follower_and_leader():
     w = controllers.founded(1, 3, editions=3)
     w.run(300)
@@ -17,12 +26,12 @@
 
 def test_a_copy_that_is_one_entry_ahead_leaves_no_gap_in_what_is_kept():
     w, follower, leader = follower_and_leader()
-    ahead = book.apply(leader.book, book.entry(leader.book["serial"] + 1, leader.promised, {"op": "final"}))
-    follower.install({"book": ahead, "tail": []})
-    after = book.entry(ahead["serial"] + 1, leader.promised, {"op": "final"})
+    ahead = state_machine.apply(leader.book, entry(leader, leader.book.log_index + 1))
+    follower.install(state_machine.ReplicatedState(ahead))
+    after = entry(leader, ahead.log_index + 1)
     follower.tail.append(after)
-    follower.advance(after["s"], book.gen_of(after))
-    assert list(follower.past) == [after["s"]]
+    follower.advance(after.index, after.term)
+    assert list(follower.past) == [after.index]
 
 
 def test_a_leader_with_a_gap_in_what_it_keeps_sends_a_copy():
@@ -36,15 +45,15 @@
 @pytest.mark.parametrize("missing", [1, 2])
 def test_entries_with_a_gap_are_not_taken(missing):
     w, follower, leader = follower_and_leader()
-    serial = follower.book["serial"]
-    entries = [book.entry(serial + i, leader.promised, {"op": "final"}) for i in (1, 2, 3)]
+    serial = follower.book.log_index
+    entries = [entry(leader, serial + i) for i in (1, 2, 3)]
     del entries[missing]
     if missing == 2:
-        entries.append(book.entry(serial + 4, leader.promised, {"op": "final"}))
+        entries.append(entry(leader, serial + 4))
     head = follower.head()
     beat = messages.Beat(
         leader.promised, leader.me.seat, "k", leader.me.addr, 10**6, serial, head[0], head[0],
-        identifiers.LogIndex(serial), entries, {}, 0, 0
+        identifiers.LogIndex(serial), entries, None, 0, 0
     )  # fmt: skip
     assert follower.extend(beat) is False
     assert follower.head() == head
@@ -52,23 +61,23 @@
 
 def test_what_is_behind_a_gap_is_not_applied():
     w, follower, leader = follower_and_leader()
-    serial = follower.book["serial"]
-    follower.tail = [book.entry(serial + 2, leader.promised, {"op": "final"})]
-    with pytest.raises(ValueError):
+    serial = follower.book.log_index
+    follower.tail = [entry(leader, serial + 2)]
+    with pytest.raises(errors.LogGapError, match=f"behind entry {serial}"):
         follower.advance(serial + 2, leader.promised)
-    assert follower.book["serial"] == serial
+    assert follower.book.log_index == serial
 
 
 def test_a_seat_that_is_on_its_way_out_is_given_no_orders():
     """While one member takes another's place, the former one still votes and may answer."""
     w, _, leader = follower_and_leader()
-    out = next(s for s in leader.book["roster"] if s != leader.me.seat)
-    row = {**leader.book["roster"][out], "seat": "new", "addr": "10.9.9.9:1", "name": "new"}
-    leader.append({"op": "joint", "drops": [out], "adds": [row]})
+    out = next(s for s in leader.book.members if s != leader.me.seat)
+    row = dataclasses.replace(leader.book.members[out], member_id="new", address="10.9.9.9:1", name="new")
+    leader.append(log.JointChangeBegun((out,), (row,)))
     leader.acks[out] = leader.now
     assert out in leader.live()
-    leader.tip_book = {**leader.tip_book, "slices": {}}
+    leader.tip_book = dataclasses.replace(leader.tip_book, shards={})
     leader.since = leader.now - duties.GATHER
     leader.keep_slices()
-    given = [e["op"].get("give", {}) for e in leader.tail if e["op"]["op"] == "slices"]
+    given = [e.operation.owners for e in leader.tail if isinstance(e.operation, log.ShardsAssigned)]
     assert given and out not in {owner for give in given for owner in give.values()}
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,12 +1,14 @@
 """Changes of the roster: members replaced while they live, losses beside a change, leases across restarts."""
 
+import dataclasses
 import pathlib
 
 import pytest
 
-import basaltport.consensus.book as book
+import basaltport.consensus.log as log
 import basaltport.consensus.quorum as quorum
 import basaltport.consensus.roster as roster
+import basaltport.consensus.state_machine as state_machine
 import basaltport.consensus.timing as timing
 import basaltport.events as events
 import basaltport.controller.node as role
@@ -47,8 +49,8 @@
     first = w.nodes[w.leader()].member.book
     w.run(10_000)
     second = w.nodes[w.leader()].member.book
-    assert len(first["roster"]) == members + 1
-    assert second["roster"] == first["roster"]
+    assert len(first.members) == members + 1
+    assert second.members == first.members
 
 
 def test_a_seat_that_left_long_ago_and_is_back_is_not_taken_for_lost():
@@ -169,15 +171,15 @@
     assert w.must(2, 1) is not None
     w.run(300)
     follower = w.nodes[others(w)[0]].member
-    newest = follower.book["serial"]
-    older = {**follower.book, "serial": newest - 1}
-    known = book.entry(newest, follower.book["gen"] and follower.head()[0], {"op": "final"})
-    behind = book.entry(newest + 1, follower.head()[0], {"op": "final"})
-    foreign = book.entry(newest, identifiers.Term(1, "nobody"), {"op": "final"})
+    newest = follower.book.log_index
+    older = dataclasses.replace(follower.book, log_index=newest - 1)
+    known = log.LogEntry(newest, follower.head()[0], log.JointChangeCompleted())
+    behind = log.LogEntry(newest + 1, follower.head()[0], log.JointChangeCompleted())
+    foreign = log.LogEntry(newest, identifiers.Term(1, "nobody"), log.JointChangeCompleted())
     for tail in ([], [known], [foreign], [known, behind]):
-        follower.install({"book": older, "tail": tail})
-        assert follower.book["serial"] == newest
-    assert [e["s"] for e in follower.tail] == [newest + 1]
+        follower.install(state_machine.ReplicatedState(older, tuple(tail)))
+        assert follower.book.log_index == newest
+    assert [e.index for e in follower.tail] == [newest + 1]
 
 
 def test_a_read_is_answered_only_by_a_heartbeat_sent_after_it():
@@ -207,12 +209,15 @@
 
 
 def test_while_one_takes_the_place_of_another_both_rosters_decide():
-    b = {"roster": {"a": {}, "b": {}, "c2": {}}, "former": {"a": {}, "b": {}, "c": {}}}
+    rows = {s: log.MemberRecord(s, s, "ledger", "z", s) for s in ("a", "b", "c", "c2")}
+    b = state_machine.ClusterState(
+        members={s: rows[s] for s in ("a", "b", "c2")}, former_members={s: rows[s] for s in ("a", "b", "c")}
+    )
     assert quorum.has_majority(b, {"a", "b"})
     assert not quorum.has_majority(b, {"a", "c"})
     assert not quorum.has_majority(b, {"b", "c2"})
     assert quorum.has_majority(b, {"a", "c", "c2"})
-    del b["former"]
+    b = dataclasses.replace(b, former_members=None)
     assert quorum.has_majority(b, {"b", "c2"})
 
 
--- a/tests/test_mutations.py
+++ b/tests/test_mutations.py
@@ -1,5 +1,7 @@
 """Each check is seen to fail: one safety rule of the daemons is broken, and its check must say so."""
 
+import dataclasses
+
 import pytest
 
 import basaltport.admin.desk as desk
@@ -57,11 +59,10 @@
 
 def _alone(self):
     """Agreed by the leader's own disk."""
-    for e in self.tail:
-        e["g"] = list(self.promised)
+    self.tail = [dataclasses.replace(e, term=self.promised) for e in self.tail]
     if self.tail:
         last = self.tail[-1]
-        self.advance(last["s"], self.promised)
+        self.advance(last.index, self.promised)
         for w in self.waiting:
             w["committed"] = self.now
 
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -5,10 +5,11 @@
 
 import pytest
 
-import basaltport.consensus.book as book
+import basaltport.consensus.codec as codec
 import basaltport.consensus.journal as journal
 import basaltport.consensus.member_identity as member_identity
 import basaltport.consensus.record_framing as record_framing
+import basaltport.consensus.state_machine as state_machine
 import basaltport.controller.shard_ownership as shard_ownership
 import basaltport.fleet.messages as fleet_messages
 import basaltport.frames as frames
@@ -45,16 +46,13 @@
 
 def documents_of(recovered):
     """State, entries not known to be agreed, and the vote, as they are stored."""
-    held = recovered.held
-    return {"book": held["book"], "tail": held["tail"], "promised": list(recovered.promised)}
+    return {**codec.encode_copy(recovered.held), "promised": list(recovered.promised)}
 
 
 def tip_of(recovered):
     """The state with all its entries applied, as it is stored."""
-    state = recovered.held["book"]
-    for entry in recovered.held["tail"]:
-        state = book.apply(state, entry)
-    return state
+    held = recovered.held
+    return codec.encode_state(state_machine.apply_all(held.cluster_state, held.uncommitted))
 
 
 def in_order(document):
@@ -65,13 +63,15 @@
 def message_of(kind, values):
     """A message of the values of its fields."""
     cls = messages.KINDS[kind]
-    layout = frames._layout(cls)
-    return cls(
-        *[
-            identifiers.Term(*v) if f.type is identifiers.Term else v
-            for f, v in zip(layout, values, strict=True)
-        ]
-    )
+    fields = frames._layout(cls)
+    return cls(*[value_of(field, value) for field, value in zip(fields, values, strict=True)])
+
+
+def value_of(field, value):
+    """A field's value of its document."""
+    if field.type is identifiers.Term:
+        return identifiers.Term(*value)
+    return field.conversion.decode(value) if field.conversion else value
 
 
 @pytest.mark.parametrize("name", FOLDERS)
@@ -108,7 +108,7 @@
     before = {end: (path / f"snap.{number}.{end}").read_bytes() for end in ("dat", "dir")}
     disk = journal.Disk(str(path), stored_forms.MEMBER)
     recovered = disk.open(SOMEBODY_NEW).ok_value
-    disk.write([], {**recovered.held, "promised": recovered.promised})
+    disk.write([], journal.Snapshot(recovered.held, recovered.promised))
     disk.close()
     assert before == {end: (path / f"snap.{disk.number}.{end}").read_bytes() for end in ("dat", "dir")}
 
@@ -162,4 +162,4 @@
     for name in FOLDERS:
         last = expected_of(name)["steps"][-1]
         seen |= {e["op"]["op"] for e in last["tail"]}
-    assert seen >= set(book._OPS)
+    assert seen >= set(codec._OPERATIONS)
--- a/tests/test_transfers.py
+++ b/tests/test_transfers.py
@@ -1,5 +1,7 @@
 """What a leader sends to a member is sent again only once it must have arrived, or is seen to be lost."""
 
+import dataclasses
+
 import basaltport.consensus.feed as feed
 import basaltport.events as events
 import basaltport.messages as messages
@@ -42,7 +44,8 @@
     """The member goes on answering heartbeats that were sent before the copy."""
     w, leader, seat = led()
     w.differs = lambda n, b: None
-    leader.book = {**leader.book, "manifest": {**leader.book["manifest"], "note": "x" * 600_000}}
+    large = {**leader.book.configuration, "note": "x" * 600_000}
+    leader.book = dataclasses.replace(leader.book, configuration=large)
     before = leader.n
     leader.needs.add(seat)
 
@@ -54,7 +57,7 @@
 
 def test_a_lost_copy_is_sent_again_once_a_later_heartbeat_was_answered_without_it():
     w, leader, seat = led()
-    leader.transfers[seat] = feed.Transfer(leader.n, w.now, 10**6, leader.book["serial"], leader.head()[1])
+    leader.transfers[seat] = feed.Transfer(leader.n, w.now, 10**6, leader.book.log_index, leader.head()[1])
     leader.match.pop(seat, None)
     ack = messages.Ack(
         leader.promised, seat, leader.n + 1, 1, True, leader.promised, *leader.head(), 0, False
@@ -65,7 +68,7 @@
 
 def test_a_member_that_lacks_what_was_sent_before_is_not_sent_it_anew():
     w, leader, seat = led()
-    leader.transfers[seat] = feed.Transfer(leader.n, w.now, 10**6, leader.book["serial"], leader.head()[1])
+    leader.transfers[seat] = feed.Transfer(leader.n, w.now, 10**6, leader.book.log_index, leader.head()[1])
 
     assert leader.to_come(lacking(leader, seat, leader.n - 1))
     assert not leader.to_come(lacking(leader, seat, leader.n))
--- a/tests/test_virtual_disk.py
+++ b/tests/test_virtual_disk.py
@@ -26,7 +26,7 @@
 
 def _held(disk):
     held, promised = disk.load().ok_value
-    return held["book"]["serial"], tuple(e["s"] for e in held["tail"]), promised.count
+    return held.cluster_state.log_index, tuple(e.index for e in held.uncommitted), promised.count
 
 
 def _outcomes(under_way):
@@ -59,7 +59,7 @@
 def test_a_snapshot_under_way_is_whole_or_not_there_and_its_records_come_after_it():
     def switch(disk):
         disk.write(2, _entries(2, 1), None)
-        disk.write(3, [{"promise": [5, "n"]}], WHOLE)
+        disk.write(3, [crash_states.promise(5)], WHOLE)
         disk.begin()
 
     assert _outcomes(switch) == {(0, (1,), 1), (9, (), 2), (9, (), 5)}
@@ -94,4 +94,4 @@
 
 def test_an_empty_disk_gives_back_that_nothing_was_promised():
     held, promised = virtual_disk.SimDisk(random.Random(1)).load().ok_value
-    assert held == {k: journal.empty()[k] for k in ("book", "tail")} and promised == identifiers.Term()
+    assert held == journal.empty().held and promised == identifiers.Term()
