--- a/basaltport/consensus/state_machine.py
+++ b/basaltport/consensus/state_machine.py
@@ -172,10 +172,15 @@
     uncommitted: tuple[log.LogEntry, ...] = ()
 
     @property
-    def last_index(self) -> int:
+    def last_index(self) -> identifiers.LogIndex:
         """The index of the last entry held."""
         return self.uncommitted[-1].index if self.uncommitted else self.cluster_state.log_index
 
+    @property
+    def last_term(self) -> identifiers.Term:
+        """The term of the last entry held."""
+        return self.uncommitted[-1].term if self.uncommitted else self.cluster_state.term
+
 
 def apply(state: ClusterState, entry: log.LogEntry) -> ClusterState:
     """The state after an agreed entry; UnknownOperationError for one of a newer release."""
--- a/tests/node.py
+++ b/tests/node.py
@@ -57,7 +57,7 @@
             listed_replicas={f"x{i}": log.ListedReplica(f"http://9.9.9.{i}:1", "z1", "g") for i in (1, 2)},
             role_owners={"zone/z1": state_machine.RoleOwner("st-s", 5, True)},
         )
-        self.r.in_force()
+        self.r.use_agreed_state()
         self.r.lease_end = 10**12
         self.r.first_lease = 1
         self.n = 0
--- a/tests/test_log_gaps.py
+++ b/tests/test_log_gaps.py
@@ -31,14 +31,14 @@
     after = entry(leader, ahead.log_index + 1)
     follower.tail.append(after)
     follower.advance(after.index, after.term)
-    assert list(follower.past) == [after.index]
+    assert list(follower.retained) == [after.index]
 
 
 def test_a_leader_with_a_gap_in_what_it_keeps_sends_a_copy():
     w, _, leader = follower_and_leader()
-    oldest = min(leader.past)
+    oldest = min(leader.retained)
     assert leader.entries_from(oldest)[0] is not None
-    del leader.past[oldest + 2]
+    del leader.retained[oldest + 2]
     assert leader.entries_from(oldest)[0] is None
 
 
