--- a/basaltport/query_api/log_node.py
+++ b/basaltport/query_api/log_node.py
@@ -2,16 +2,15 @@
 
 import typing
 
-import basaltport.admin.desk as desk
 import basaltport.consensus.follower_lease as follower_lease
 import basaltport.consensus.node as node
 import basaltport.consensus.voting_policy as voting_policy
 import basaltport.identifiers as identifiers
 import basaltport.member as member
-import basaltport.messages as messages
+import basaltport.query_api.admin.leader_requests as leader_requests
 import basaltport.query_api.cell.cell as cell
-import basaltport.query_api.failure_detection.duties as duties
 import basaltport.query_api.failure_detection.ring as ring
+import basaltport.query_api.failure_detection.role_owners as role_owners
 
 
 SNAPSHOT_EVERY_ENTRIES = 400
@@ -19,10 +18,10 @@
 
 
 class LogNode(
-    duties.DutyMixin,
+    role_owners.RoleOwnerMixin,
     ring.RingMixin,
     cell.CellMixin,
-    desk.DeskMixin,
+    leader_requests.LeaderRequestsMixin,
     follower_lease.LeaseGrantMixin,
     node.ConsensusNode,
 ):
@@ -42,7 +41,7 @@
         node.ConsensusNode.__init__(self, me, seed, now, voting_policy.ALL_MEMBERS, held, promised)
         self.cell_start()
         self.ring_start()
-        desk.DeskMixin.desk_start(self)
+        self.desk_start()
         self.snapshot_index = self.book["serial"]
         self.disk_retry_at = now
         self.listeners.state_applied.append(self.write_snapshot_if_due)
@@ -64,6 +63,3 @@
     def write_snapshot(self) -> None:
         """Ask for a snapshot in place of the log."""
         self.write([], whole=self.copy())
-
-    def hear_leaving(self, src: str, message: messages.Leaving) -> None:
-        """Only query nodes use replicas."""
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -15,6 +15,7 @@
 import basaltport.frames as frames
 import basaltport.identifiers as identifiers
 import basaltport.messages as messages
+import basaltport.query_api.messages as query_messages
 import tests.stored_forms as stored_forms
 
 FOUNDERS = ("10.0.0.1:7000", "10.0.0.2:7000")
@@ -153,7 +154,7 @@
 
 
 def test_there_is_a_frame_of_every_kind():
-    assert fleet_messages and shard_ownership
+    assert fleet_messages and query_messages and shard_ownership
     assert {VALUES[file.stem][0] for file in FRAME_FILES} == set(messages.KINDS)
 
 
