--- a/basaltport/simulation/virtual_disk.py
+++ b/basaltport/simulation/virtual_disk.py
@@ -1,5 +1,7 @@
 """A member's disk on virtual time: bytes are safe only once synced; power loss may tear what was not."""
 
+import random
+
 import result
 
 import basaltport.consensus.journal as journal
@@ -10,14 +12,17 @@
 import basaltport.consensus.write_ahead_log as write_ahead_log
 import basaltport.identifiers as identifiers
 
-Queued = tuple[int, bytes, dict[str, bytes] | None]
+PREFIX_SHARE = 0.5
+
+Queued = tuple[int, bytes, snapshot_store.Encoded | None]
 
 
-class SimDisk:
+class VirtualDisk:
     """The log's own frames and replay; the switch of snapshots is one step, as a rename is. docs/storage.md
     says why a power loss of the real files comes to what `power_loss` does here."""
 
-    def __init__(self, rng):
+    def __init__(self, rng: random.Random) -> None:
+        """It holds nothing, as a new one."""
         self.rng = rng
         self.snap = journal.parts(journal.empty())
         self.safe = b""
@@ -34,7 +39,8 @@
         raw = record_framing.encode_batch([record_framing.encode(r) for r in records]) if records else b""
         self.queue.append((token, raw, journal.parts(whole) if whole is not None else None))
 
-    def lapse(self, now: int) -> int:
+    def sync_ends_at(self, now: int) -> int:
+        """When a sync that begins now ends, in ms of the same clock."""
         return now + self.rng.randrange(1, 6) * self.slow
 
     def begin(self) -> None:
@@ -57,6 +63,12 @@
             out.append((token, not self.broken))
         return out
 
+    def finish_all(self) -> None:
+        """The process ends, and what its last sync covers is safe: all that waits, if none was under way."""
+        self.syncing = self.syncing or len(self.queue)
+        self.done()
+        self.queue = []
+
     def power_loss(self) -> None:
         """Of what was under way: nothing; or a prefix of its snapshots, each whole; or all of them, and of
         the records behind the last one a prefix, the last frame torn anywhere or with its beginning
@@ -90,16 +102,17 @@
     def _torn(self, raw: bytes) -> bytes:
         """Nothing, a prefix or all of it, or zeros where the beginning should be."""
         cut = self.rng.randrange(0, len(raw) + 1)
-        if self.rng.random() < 0.5:
+        if self.rng.random() < PREFIX_SHARE:
             return raw[:cut]
         return bytes(cut) + raw[cut:]
 
     def load(self) -> result.Result[tuple[state_machine.ReplicatedState, identifiers.Term], str]:
         """As a start reads it: Ok((held, promised)) or Err. The cut log can be appended to again."""
         got = record_framing.scan(self.safe)
-        if got.is_err():
+        if isinstance(got, result.Err):
             return got
-        self.safe = self.safe[: got.ok_value.length]
+        scanned = got.ok_value
+        self.safe = self.safe[: scanned.length]
         self.broken = False
-        snapshot = write_ahead_log.replay(snapshot_store.decode(self.snap), got.ok_value.records)
+        snapshot = write_ahead_log.replay(snapshot_store.decode(self.snap), scanned.records)
         return result.Ok((snapshot.held, snapshot.current_term))
--- a/tests/test_route_scenarios.py
+++ b/tests/test_route_scenarios.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-import basaltport.consensus.elect as elect
+import basaltport.consensus.election as election
 import basaltport.fleet.follow as follow
 import basaltport.controller.operator_requests as desk
 import basaltport.controller.shard_ownership as duties
@@ -11,7 +11,9 @@
 import basaltport.placement.plan_execution as plan_execution
 import basaltport.placement.token_bucket as token_bucket
 import basaltport.simulation.routes.mayhem as routemayhem
+import basaltport.simulation.routes.request_rows as request_rows
 import basaltport.simulation.routes.scenes as routescenes
+import basaltport.simulation.trace as trace
 import basaltport.simulation.virtual_disk as simdisk
 import basaltport.proxy.retry_budget as retry_budget
 import basaltport.proxy.retry_decision as retry_decision
@@ -27,7 +29,8 @@
 def test_no_rule_breaks(name, seed):
     p = routescenes.Play(name, seed).play()
     assert p.findings() == []
-    assert sum(r["k"] == "op-end" and r["outcome"] == "done" for r in p.w.trace) > 300
+    ends = trace.of_kind(p.world.trace, request_rows.OperationEnd)
+    assert sum(row.outcome == "done" for row in ends) > 300
 
 
 @pytest.mark.parametrize("name, seed", [("proxy-killed-while-models-move", 2), ("leader-disk-stalled", 1)])
@@ -36,7 +39,7 @@
 
 
 def test_one_seed_is_one_run():
-    traces = [routescenes.Play("mayhem", 5).play().w.trace for _ in range(2)]
+    traces = [routescenes.Play("mayhem", 5).play().world.trace for _ in range(2)]
     assert traces[0] == traces[1]
     assert routemayhem.schedule(7) == routemayhem.schedule(7) != routemayhem.schedule(8)
 
@@ -145,11 +148,11 @@
     ("evacuated", "evacuation-while-a-keeper-dies", [(load_balancing.LoadBalancer, "is_open", _any_zone)]),
     ("in-force", "quiet", [(follow.FollowMixin, "take_book", _book_once)]),
     ("back", "quiet", [(follow.FollowMixin, "take_book", _forgets)]),
-    ("agreed", "power-loss", [(simdisk.SimDisk, "done", _not_written)]),
+    ("agreed", "power-loss", [(simdisk.VirtualDisk, "done", _not_written)]),
     ("fed", "rare-models-at-once", [(follow.FollowMixin, "take_rows", _rows_once)]),
     ("refused", "operators-race", [(desk.DeskMixin, "judged", _taken_though_refused)]),
     ("refused", "operators-race", [(desk.DeskMixin, "judged", _no_compare)]),
-    ("survives", "power-loss", [(simdisk.SimDisk, "done", _not_written)]),
+    ("survives", "power-loss", [(simdisk.VirtualDisk, "done", _not_written)]),
     ("resends", "replicas-refuse", [(retry_budget.RetryBudget, "has_room", lambda self, now, nodes: True)]),
     ("cold", "replicas-cold", [(load_balancing.LoadBalancer, "slow_start_share", lambda self, row: 10**6)]),
     ("store", "rare-models-at-once", [(token_bucket.TokenBucket, "fill", _endless)]),
@@ -162,7 +165,7 @@
         ],
     ),
     ("starved", "rare-models-at-once", [(machine.Placement, "requests_waiting", _not_m20)]),
-    ("back", "all-killed", [(elect.ElectMixin, "quorum", _only_founding)]),
+    ("back", "all-killed", [(election.ElectionMixin, "quorum", _only_founding)]),
     ("final-word", "replicas-refuse", [(node.ProxyNode, "reject", _now)]),
     (
         "held",
@@ -177,7 +180,7 @@
 
 
 def rules_broken(name, seed):
-    return {f["rule"] for f in routescenes.Play(name, seed).play().findings()}
+    return {found.rule for found in routescenes.Play(name, seed).play().findings()}
 
 
 @pytest.mark.parametrize("rule, name, breaks", CASES, ids=[f"{c[0]}-{c[1]}" for c in CASES])
