--- a/tests/proxy_stand.py
+++ b/tests/proxy_stand.py
@@ -1,5 +1,6 @@
 """A stand-in replica that answers as a script says, byte for byte, and a relay in front of it."""
 
+import dataclasses
 import asyncio
 
 import basaltport.identifiers as identifiers
@@ -122,7 +123,7 @@
 
 def fill(m, rows, doc):
     """Put a reducer where the feed would have it."""
-    m.book = {**m.book, "manifest": doc, "mserial": 1, "serial": 1}
+    m.book = dataclasses.replace(m.book, configuration=doc, configuration_version=1, log_index=1)
     m.rows = {r["id"]: r for r in rows}
     m.proxies = 1
     m.followed()
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -1,5 +1,6 @@
 """The relay's reducer on virtual time: what goes where, what goes again, what is refused and when."""
 
+import dataclasses
 import pytest
 
 import basaltport.events as base
@@ -77,7 +78,7 @@
 def test_nothing_goes_to_what_drains_or_lies_in_an_emptied_zone():
     s = Sim([row("a", state="draining"), row("b", "z2")])
     assert s.ask()[0].replica == "b"
-    s.m.book = {**s.m.book, "drains": {"z2": 5}}
+    s.m.book = dataclasses.replace(s.m.book, evacuated_zones={"z2": 5})
     assert s.ask() == []
     assert s.wants[-1] == {"birch": 4}
 
@@ -290,11 +291,11 @@
 def test_a_second_attempt_goes_to_no_zone_that_was_evacuated_meanwhile():
     s = Sim([row("a"), row("b", "z2")])
     a = s.ask("safe")[0]
-    s.m.book = {**s.m.book, "drains": {"z1": 5}}
+    s.m.book = dataclasses.replace(s.m.book, evacuated_zones={"z1": 5})
     assert s.end(a.attempt, "broken")[0].replica == "b"
     s = Sim([row("a"), row("b", "z2")])
     a = s.ask("safe")[0]
-    s.m.book = {**s.m.book, "drains": {"z1": 5, "z2": 6}}
+    s.m.book = dataclasses.replace(s.m.book, evacuated_zones={"z1": 5, "z2": 6})
     s.end(a.attempt, "broken")
     got = s.wait(2000)
     assert [(type(e), e.status) for e in got] == [(events.Close, 504)], "it may have run"
--- a/tests/test_route_scenarios.py
+++ b/tests/test_route_scenarios.py
@@ -1,5 +1,6 @@
 """The whole path of routes on fixed seeds: every check over every run, and each check seen to fail."""
 
+import dataclasses
 import pytest
 
 import basaltport.consensus.election as election
@@ -79,7 +80,7 @@
     if old is None or doc["edition"] <= old["edition"]:
         self.old = doc
     elif self.now - self.budgets.started_at > 12_000:
-        self.book = {**self.book, "manifest": old}
+        self.book = dataclasses.replace(self.book, configuration=old)
 
 
 _take_book = follow.FollowMixin.take_book
