--- a/tests/test_log_gaps.py
+++ b/tests/test_log_gaps.py
@@ -6,7 +6,7 @@
 
 import basaltport.consensus.log as log
 import basaltport.consensus.state_machine as state_machine
-import basaltport.controller.shard_ownership as duties
+import basaltport.controller.shard_ownership as shard_ownership
 import basaltport.errors as errors
 import basaltport.identifiers as identifiers
 import basaltport.messages as messages
@@ -77,7 +77,7 @@
     leader.acks[out] = leader.now
     assert out in leader.live()
     leader.tip_book = dataclasses.replace(leader.tip_book, shards={})
-    leader.since = leader.now - duties.GATHER
-    leader.keep_slices()
+    leader.since = leader.now - shard_ownership.GATHER_MS
+    leader.assign_shards()
     given = [e.operation.owners for e in leader.tail if isinstance(e.operation, log.ShardsAssigned)]
     assert given and out not in {owner for give in given for owner in give.values()}
