--- a/basaltport/simulation/routes/fleet_world.py
+++ b/basaltport/simulation/routes/fleet_world.py
@@ -205,17 +205,17 @@
         self.disturb(name)
         super().stall(name, on)
 
-    def cut(self, sender: str, receiver: str, both: bool = True) -> None:
+    def cut(self, source: str, target: str, both: bool = True) -> None:
         """Cuts a link between processes, or between a process and a replica."""
-        super().cut(sender, receiver, both)
-        for name in (sender, receiver):
+        super().cut(source, target, both)
+        for name in (source, target):
             self.disturb(name)
 
     def heal(self) -> None:
         """All links are whole."""
-        for sender, receiver in sorted(self.cuts):
-            self.disturb(sender)
-            self.disturb(receiver)
+        for source, target in sorted(self.cuts):
+            self.disturb(source)
+            self.disturb(target)
         self.record(process_rows.Heal)
         super().heal()
 
