--- a/basaltport/consensus/snapshot_transfer.py
+++ b/basaltport/consensus/snapshot_transfer.py
@@ -1,16 +1,15 @@
 """Whole copies of the agreed state and the entries behind it, for members that lack too much."""
 
-import typing
-
 import basaltport.consensus.book as book
+import basaltport.consensus.state_machine as state_machine
 import basaltport.messages as messages
 
 
 class SnapshotTransferMixin:
     """Gives and takes copies; what is in force never goes back by one."""
 
-    def copy(self) -> dict[str, typing.Any]:
-        return {"book": self.book, "tail": list(self.tail)}
+    def copy(self) -> state_machine.ReplicatedState:
+        return state_machine.ReplicatedState(self.book, tuple(self.tail))
 
     def hear_fetch(self, src, m):
         if m.gen != self.promised:
@@ -24,14 +23,14 @@
         behind what is in force are taken, and of one that does not reach it nothing."""
         was = self.book["serial"]
         # M6: what is in force never goes back.
-        if copy["book"]["serial"] >= was:
-            self.book, self.tail = copy["book"], list(copy["tail"])
+        if copy.cluster_state.log_index >= was:
+            self.book, self.tail = copy.cluster_state, list(copy.uncommitted)
             self.write([], whole=self.copy())
             self.state_applied()
             self.retained_behind(was)
             return
         at = book.serial(self.book)
-        if not any(e["s"] == at and book.gen_of(e) == book.gen(self.book) for e in copy["tail"]):
+        if not any(e["s"] == at and book.gen_of(e) == book.gen(self.book) for e in copy.uncommitted):
             return
-        self.tail = [e for e in copy["tail"] if e["s"] > at]
+        self.tail = [e for e in copy.uncommitted if e["s"] > at]
         self.write([], whole=self.copy())
--- a/basaltport/query_api/anti_entropy/key_holder.py
+++ b/basaltport/query_api/anti_entropy/key_holder.py
@@ -6,6 +6,7 @@
 import dataclasses
 import typing
 
+import basaltport.consensus.state_machine as state_machine
 import basaltport.configuration.rules as rules
 import basaltport.identifiers as identifiers
 import basaltport.log_events as log_events
@@ -46,7 +47,7 @@
 
     me: member.Me
     now: identifiers.Millis
-    book: dict[str, typing.Any]
+    book: state_machine.ClusterState
     rules: rules.Rules
 
     def addr_of(self, seat: str) -> str | None:
--- a/basaltport/query_api/failure_detection/role_owners.py
+++ b/basaltport/query_api/failure_detection/role_owners.py
@@ -5,6 +5,7 @@
 
 import typing
 
+import basaltport.consensus.state_machine as state_machine
 import basaltport.consensus.voting_policy as voting_policy
 import basaltport.identifiers as identifiers
 import basaltport.log_events as log_events
@@ -44,7 +45,7 @@
     since: int
     fresh: bool
     policy: voting_policy.VotingPolicy
-    tip_book: Row
+    tip_book: state_machine.ClusterState
     left: set[str]
     lapse: dict[str, int]
 
@@ -111,7 +112,7 @@
         is_query_node = bool(row["role"] == "rostrum")
         return is_query_node and self.quiet(member_id) < SUSPECTED_AFTER_MS and member_id not in self.left
 
-    def lacks_owner(self, state: Row, role: str) -> bool:
+    def lacks_owner(self, state: state_machine.ClusterState, role: str) -> bool:
         """Whether a role has no owner, or one that is lost."""
         owner = state["duties"].get(role)
         return not owner or self.is_lost(owner["owner"])
