--- a/basaltport/scale/part.py
+++ b/basaltport/scale/part.py
@@ -11,6 +11,7 @@
 
 import absl.flags as flags
 
+import basaltport.controller.node as controller_node
 import basaltport.controller.server as controller_server
 import basaltport.identifiers as identifiers
 import basaltport.member as member
@@ -29,6 +30,7 @@
 
 Answer = dict[str, typing.Any]
 Settings = dict[str, typing.Any]
+Event = member.Event
 ReplicaRows = list[dict[str, typing.Any]]
 OrderKey = tuple[str, str, str, str | None]
 
@@ -99,14 +101,16 @@
 class Controller(controller_server.ControllerServer):
     """Notes when it first held its lead, by term."""
 
+    member: controller_node.Controller
+
     def __init__(self, settings: Settings, port: Port) -> None:
         """As of the server."""
         self.held: dict[int, int] = {}
         super().__init__(settings, port)
 
-    def step(self, event: member.Event) -> None:
+    def step(self, event: Event) -> None:
         """One step, and whether it leads after it."""
-        super().step(event)
+        controller_server.ControllerServer.step(self, event)
         term = self.member.promised.count
         if term not in self.held and self.leads():
             self.held[term] = int(identifiers.steady())
@@ -130,11 +134,11 @@
 
     def about(self) -> Answer:
         """Of its lead, beside the reading of the process."""
-        node, leads = self.shell.member, self.shell.leads()
-        about = {"leads": leads, "held": self.shell.held, "term": node.promised.count}
+        controller, leads = self.shell.member, self.shell.leads()
+        about = {"leads": leads, "held": self.shell.held, "term": controller.promised.count}
         if leads:
-            about |= {"rows": len(node.placement.rows), "proxies": len(node.proxies)}
-            about |= {"serial": node.book["serial"]}
+            about |= {"rows": len(controller.placement.rows), "proxies": len(controller.proxies)}
+            about |= {"serial": controller.book["serial"]}
         return about
 
     async def do_ask(self, verb: str, body: Answer) -> Answer:
