--- a/basaltport/consensus/voter.py
+++ b/basaltport/consensus/voter.py
@@ -1,6 +1,7 @@
 """A member's vote: given once for each term, synced before it is sent, refused while a leader may hold its
 lease."""
 
+import basaltport.consensus.log as log
 import basaltport.consensus.timing as timing
 import basaltport.events as events
 import basaltport.messages as messages
@@ -43,7 +44,7 @@
         self.promised_at = self.now
         self.lost_lead(m.gen)
         # M1: the vote is on the disk before it is sent.
-        self.write([{"promise": list(m.gen)}], then=[events.Send(m.addr, self.promise(m.gen, True))])
+        self.write([log.TermRecord(m.gen)], then=[events.Send(m.addr, self.promise(m.gen, True))])
 
     def lost_lead(self, gen):
         """A leader of an older term leads no more."""
--- a/basaltport/simulation/virtual_disk.py
+++ b/basaltport/simulation/virtual_disk.py
@@ -1,19 +1,20 @@
 """A member's disk on virtual time: bytes are safe only once synced; power loss may tear what was not."""
 
-import json
 import random
-import typing
 
 import result
 
 import basaltport.consensus.journal as journal
+import basaltport.consensus.log as log
 import basaltport.consensus.record_framing as record_framing
+import basaltport.consensus.snapshot_store as snapshot_store
+import basaltport.consensus.state_machine as state_machine
 import basaltport.consensus.write_ahead_log as write_ahead_log
 import basaltport.identifiers as identifiers
 
 PREFIX_SHARE = 0.5
 
-Queued = tuple[int, bytes, str | None]
+Queued = tuple[int, bytes, snapshot_store.Encoded | None]
 
 
 class VirtualDisk:
@@ -23,7 +24,7 @@
     def __init__(self, rng: random.Random) -> None:
         """It holds nothing, as a new one."""
         self.rng = rng
-        self.snap = json.dumps(journal.empty())
+        self.snap = journal.parts(journal.empty())
         self.safe = b""
         self.queue: list[Queued] = []
         self.syncing = 0
@@ -33,12 +34,10 @@
         self.full = False
         self.broken = False
 
-    def write(
-        self, token: int, records: list[record_framing.Record], whole: dict[str, typing.Any] | None
-    ) -> None:
+    def write(self, token: int, records: list[log.DiskRecord], whole: journal.Snapshot | None) -> None:
         """Takes a write; it is safe only when `done` is called for it."""
         raw = record_framing.encode_batch([record_framing.encode(r) for r in records]) if records else b""
-        self.queue.append((token, raw, json.dumps(whole) if whole is not None else None))
+        self.queue.append((token, raw, journal.parts(whole) if whole is not None else None))
 
     def sync_ends_at(self, now: int) -> int:
         """When a sync that begins now ends, in ms of the same clock."""
@@ -107,7 +106,7 @@
             return raw[:cut]
         return bytes(cut) + raw[cut:]
 
-    def load(self) -> result.Result[tuple[dict[str, typing.Any], identifiers.Term], str]:
+    def load(self) -> result.Result[tuple[state_machine.ReplicatedState, identifiers.Term], str]:
         """As a start reads it: Ok((held, promised)) or Err. The cut log can be appended to again."""
         got = record_framing.scan(self.safe)
         if isinstance(got, result.Err):
@@ -115,6 +114,5 @@
         scanned = got.ok_value
         self.safe = self.safe[: scanned.length]
         self.broken = False
-        state = write_ahead_log.replay(json.loads(self.snap), scanned.records)
-        held = {"book": state["book"], "tail": state["tail"]}
-        return result.Ok((held, identifiers.Term(*state["promised"])))
+        snapshot = write_ahead_log.replay(snapshot_store.decode(self.snap), scanned.records)
+        return result.Ok((snapshot.held, snapshot.current_term))
