--- a/basaltport/simulation/query_api/__init__.py
+++ b/basaltport/simulation/query_api/__init__.py
@@ -0,0 +1,1 @@
+"""The simulator of the JSON API, and what rehearses and plans with it."""
--- a/basaltport/simulation/query_api/checks/__init__.py
+++ b/basaltport/simulation/query_api/checks/__init__.py
@@ -0,0 +1,1 @@
+"""What must hold over a trace of the JSON API's simulator."""
--- a/basaltport/simulation/query_api/cli.py
+++ b/basaltport/simulation/query_api/cli.py
@@ -15,14 +15,18 @@
 import basaltport.verbs as verbs
 
 
-def define_standins(fv):
-    flags.DEFINE_string("conf", None, "The stand-ins' file, as the fleet runner writes it.", flag_values=fv)
+def define_standins(flag_values: flags.FlagValues) -> None:
+    """The flags of `standins`."""
+    flags.DEFINE_string(
+        "conf", None, "The stand-ins' file, as the fleet runner writes it.", flag_values=flag_values
+    )
 
 
-def run_standins(fv, args):
+def run_standins(flag_values: flags.FlagValues, args: list[str]) -> int:
+    """The command: serves the stand-ins of a file until it is stopped."""
     try:
-        with open(fv.conf or "") as f:
-            conf = json.load(f)
+        with open(flag_values.conf or "") as file:
+            conf = json.load(file)
     except (OSError, ValueError) as e:
         print(f"--conf: {e}", file=sys.stderr)
         return 2
@@ -30,31 +34,35 @@
     return 0
 
 
-def define_fleet(fv):
-    flags.DEFINE_enum("preset", "thin", sorted(presets.PRESETS), "The fleet's size.", flag_values=fv)
-    flags.DEFINE_string("dir", "run", "Folder for settings, logs and data.", flag_values=fv)
+def define_fleet(flag_values: flags.FlagValues) -> None:
+    """The flags of `fleet`."""
+    flags.DEFINE_enum("preset", "thin", sorted(presets.PRESETS), "The fleet's size.", flag_values=flag_values)
+    flags.DEFINE_string("dir", "run", "Folder for settings, logs and data.", flag_values=flag_values)
     flags.DEFINE_integer(
-        "seconds", 600, "Stop after this long.", lower_bound=1, upper_bound=3600, flag_values=fv
+        "seconds", 600, "Stop after this long.", lower_bound=1, upper_bound=3600, flag_values=flag_values
     )
-    flags.DEFINE_integer("seed", 1, "Seed of the stand-ins.", flag_values=fv)
+    flags.DEFINE_integer("seed", 1, "Seed of the stand-ins.", flag_values=flag_values)
 
 
-def run_fleet(fv, args):
-    f = fleet.Fleet(fv.preset, fv.dir, fv.seed)
+def run_fleet(flag_values: flags.FlagValues, args: list[str]) -> int:
+    """The command: runs a fleet for a while, or until it is stopped."""
+    running = fleet.Fleet(flag_values.preset, flag_values.dir, flag_values.seed)
     stop = []
-    for sig in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(sig, lambda *_: stop.append(1))
-    f.start()
-    print(f"nodes: {','.join(f.nodes)}", flush=True)
+    for number in (signal.SIGTERM, signal.SIGINT):
+        signal.signal(number, lambda *_: stop.append(1))
+    running.start()
+    print(f"nodes: {','.join(running.nodes)}", flush=True)
+    configuration = f"{stage.EXAMPLES}/{running.size.configuration}"
     print(
-        f"stand-ins: {f.admin}; manifest: {stage.EXAMPLES}/{f.p['manifest']}; all in {f.folder}", flush=True
+        f"stand-ins: {running.admin}; manifest: {configuration}; all in {running.folder}",
+        flush=True,
     )
-    end = time.monotonic() + fv.seconds
+    end = time.monotonic() + flag_values.seconds
     try:
         while time.monotonic() < end and not stop:
             time.sleep(0.2)
     finally:
-        f.stop()
+        running.stop()
     return 0
 
 
--- a/basaltport/simulation/query_api/drills/__init__.py
+++ b/basaltport/simulation/query_api/drills/__init__.py
@@ -0,0 +1,1 @@
+"""Real fleets of processes under load with a fault."""
--- a/basaltport/simulation/query_api/drills/fleet.py
+++ b/basaltport/simulation/query_api/drills/fleet.py
@@ -11,10 +11,12 @@
 import typing
 
 import basaltport.simulation.query_api.world.presets as presets
+import basaltport.simulation.query_api.world.world_base as world_base
 
 IP = "127.0.0.1"
 LOWEST_PORT = 10_000
 OUTGOING_PORT = 32_768
+SEEDS = (f"{world_base.LOG_NODE}-1", f"{world_base.QUERY_NODE}-1", f"{world_base.QUERY_NODE}-2")
 
 
 def first_outgoing_port() -> int:
@@ -26,13 +28,13 @@
         return OUTGOING_PORT
 
 
-def ports(n: int) -> list[int]:
+def ports(count: int) -> list[int]:
     """Free ports, all held until all are picked. They lie below those of outgoing connections, any of which
     could otherwise take a port between its choice and the start of the process that listens there."""
     held: list[socket.socket] = []
     candidates = range(LOWEST_PORT, first_outgoing_port())
     for number in random.SystemRandom().sample(candidates, len(candidates)):
-        if len(held) == n:
+        if len(held) == count:
             break
         candidate = socket.socket()
         try:
@@ -41,10 +43,24 @@
             candidate.close()
             continue
         held.append(candidate)
-    out = [candidate.getsockname()[1] for candidate in held]
+    output = [candidate.getsockname()[1] for candidate in held]
     for candidate in held:
         candidate.close()
-    return out
+    return output
+
+
+class Place(typing.NamedTuple):
+    """Where a member listens: `addr` for other members, `http` for clients and operators."""
+
+    role: str
+    number: int
+    addr: str
+    http: str
+
+    @property
+    def name(self) -> str:
+        """The member's name."""
+        return f"{self.role}-{self.number + 1}"
 
 
 class Fleet:
@@ -52,7 +68,7 @@
 
     def __init__(self, preset: str, folder: str, seed: int = 1) -> None:
         """Keep everything in `folder`."""
-        self.p = presets.PRESETS[preset]
+        self.size = presets.PRESETS[preset]
         self.folder = os.path.abspath(folder)
         self.seed = seed
         self.procs: dict[str, subprocess.Popen[bytes]] = {}
@@ -65,52 +81,77 @@
 
     def plan(self) -> None:
         """Choose ports and write settings."""
-        p = self.p
-        members = [("ledger", f"ledger-{i + 1}", i) for i in range(p["ledgers"])]
-        members += [("rostrum", f"rostrum-{i + 1}", i) for i in range(p["rostrums"])]
-        ps = iter(ports(2 * len(members) + sum(g["replicas"] for g in p["groups"].values()) + 1))
-        rows = [
-            (r, n, f"z{i % p['zones'] + 1}", f"{IP}:{next(ps)}", f"{IP}:{next(ps)}") for r, n, i in members
-        ]
-        seeds = [a for _, n, _, a, _ in rows if n in ("ledger-1", "rostrum-1", "rostrum-2")]
-        for role, name, zone, addr, http in rows:
-            s = {"house": p["house"], "name": name, "zone": zone, "addr": addr, "http": http}
-            s.update(seeds=seeds, expected_seats=len(rows), expected_ledgers=p["ledgers"])
-            s["log"] = self.path(f"{name}.log")
-            if role == "ledger":
-                s["data"] = self.path(f"{name}.data")
-            self.settings[name] = (role, s)
-            self.dump(f"{name}.json", s)
-        reps = {}
-        for g, v in p["groups"].items():
-            for i in range(v["replicas"]):
-                url = f"http://{IP}:{next(ps)}"
-                reps[f"{g}-{i + 1}"] = {"url": url, "zone": f"z{i % p['zones'] + 1}", "group": g}
-        self.nodes = [h for r, _, _, _, h in rows if r == "rostrum"]
-        self.all_nodes = [h for _, _, _, _, h in rows]
-        self.admin = f"{IP}:{next(ps)}"
-        conf = {"replicas": reps, "nodes": self.all_nodes, "admin": self.admin, "seed": self.seed}
-        conf.update({k: p[k] for k in ("groups", "load_ms_per_size", "service_ms", "loads")})
-        self.dump("standins.json", conf)
-        about = {
-            "nodes": self.nodes,
-            "all_nodes": self.all_nodes,
+        size = self.size
+        counts = ((world_base.LOG_NODE, size.log_nodes), (world_base.QUERY_NODE, size.query_nodes))
+        members = [(role, i) for role, count in counts for i in range(count)]
+        replicas = sum(figures["replicas"] for figures in size.groups.values())
+        free_ports = iter(ports(2 * len(members) + replicas + 1))
+        places = [Place(role, i, *(f"{IP}:{next(free_ports)}" for _ in range(2))) for role, i in members]
+        seeds = [place.addr for place in places if place.name in SEEDS]
+        for place in places:
+            self.write_settings(place, seeds, len(places))
+        self.nodes = [place.http for place in places if place.role == world_base.QUERY_NODE]
+        self.all_nodes = [place.http for place in places]
+        self.write_standins(free_ports)
+        self.dump(
+            "fleet.json",
+            {
+                "nodes": self.nodes,
+                "all_nodes": self.all_nodes,
+                "admin": self.admin,
+                "manifest": size.configuration,
+            },
+        )
+
+    def write_settings(self, place: Place, seeds: list[str], members: int) -> None:
+        """Write the settings of one member."""
+        settings: dict[str, typing.Any] = {
+            "house": self.size.house,
+            "name": place.name,
+            "zone": f"z{place.number % self.size.zones + 1}",
+            "addr": place.addr,
+            "http": place.http,
+            "seeds": seeds,
+            "expected_seats": members,
+            "expected_ledgers": self.size.log_nodes,
+            "log": self.path(f"{place.name}.log"),
+        }
+        if place.role == world_base.LOG_NODE:
+            settings["data"] = self.path(f"{place.name}.data")
+        self.settings[place.name] = (place.role, settings)
+        self.dump(f"{place.name}.json", settings)
+
+    def write_standins(self, free_ports: typing.Iterator[int]) -> None:
+        """Write the file of the stand-ins."""
+        size, replicas = self.size, {}
+        for group, figures in size.groups.items():
+            for i in range(figures["replicas"]):
+                url, zone = f"http://{IP}:{next(free_ports)}", f"z{i % size.zones + 1}"
+                replicas[f"{group}-{i + 1}"] = {"url": url, "zone": zone, "group": group}
+        self.admin = f"{IP}:{next(free_ports)}"
+        settings = {
+            "replicas": replicas,
+            "nodes": self.all_nodes,
             "admin": self.admin,
-            "manifest": p["manifest"],
+            "seed": self.seed,
+            "groups": size.groups,
+            "load_ms_per_size": size.load_ms_per_size,
+            "service_ms": size.service_ms,
+            "loads": size.loads,
         }
-        self.dump("fleet.json", about)
+        self.dump("standins.json", settings)
 
     def dump(self, name: str, doc: object) -> None:
         """Write a JSON file into the folder."""
-        with open(self.path(name), "w") as f:
-            json.dump(doc, f, indent=1)
+        with open(self.path(name), "w") as file:
+            json.dump(doc, file, indent=1)
 
     def spawn(self, name: str, *args: str) -> None:
         """Start `basaltport ARGS` as a process of this name."""
-        out = open(self.path(f"{name}.out"), "ab")
-        cmd = [sys.executable, "-m", "basaltport", *args]
-        self.procs[name] = subprocess.Popen(cmd, stdout=out, stderr=out, stdin=subprocess.DEVNULL)
-        out.close()
+        output = open(self.path(f"{name}.out"), "ab")
+        command = [sys.executable, "-m", "basaltport", *args]
+        self.procs[name] = subprocess.Popen(command, stdout=output, stderr=output, stdin=subprocess.DEVNULL)
+        output.close()
 
     def start(self) -> None:
         """Plan and start all processes."""
@@ -126,21 +167,26 @@
 
     def replace_ledgers(self, old: list[str]) -> None:
         """Other ledgers, with names, ports and folders of their own; the dead ones are forgotten."""
-        ps = iter(ports(2 * len(old)))
-        for n, name in enumerate(old):
+        free_ports = iter(ports(2 * len(old)))
+        for number, name in enumerate(old):
             role, was = self.settings.pop(name)
-            new = f"ledger-{len(old) + n + 1}"
-            s = {**was, "name": new, "addr": f"{IP}:{next(ps)}", "http": f"{IP}:{next(ps)}"}
-            s.update(log=self.path(f"{new}.log"), data=self.path(f"{new}.data"))
-            self.settings[new] = (role, s)
-            self.dump(f"{new}.json", s)
+            new = f"ledger-{len(old) + number + 1}"
+            settings = {
+                **was,
+                "name": new,
+                "addr": f"{IP}:{next(free_ports)}",
+                "http": f"{IP}:{next(free_ports)}",
+            }
+            settings.update(log=self.path(f"{new}.log"), data=self.path(f"{new}.data"))
+            self.settings[new] = (role, settings)
+            self.dump(f"{new}.json", settings)
             self.start_member(new)
-        self.all_nodes = [s["http"] for _, s in self.settings.values()]
+        self.all_nodes = [settings["http"] for _, settings in self.settings.values()]
         self.note_ids()
 
     def note_ids(self) -> None:
         """Write the ids of all processes to ids.json."""
-        self.dump("ids.json", {k: p.pid for k, p in self.procs.items()})
+        self.dump("ids.json", {name: process.pid for name, process in self.procs.items()})
 
     def signal(self, name: str, sig: int) -> None:
         """Send a signal to one process."""
@@ -148,14 +194,14 @@
 
     def stop(self) -> None:
         """End all processes by id: asked first, killed after a while."""
-        for p in self.procs.values():
-            if p.poll() is None:
-                p.send_signal(signal.SIGCONT)
-                p.terminate()
+        for process in self.procs.values():
+            if process.poll() is None:
+                process.send_signal(signal.SIGCONT)
+                process.terminate()
         end = time.monotonic() + 15
-        for p in self.procs.values():
+        for process in self.procs.values():
             try:
-                p.wait(max(0.1, end - time.monotonic()))
+                process.wait(max(0.1, end - time.monotonic()))
             except subprocess.TimeoutExpired:
-                p.kill()
-                p.wait()
+                process.kill()
+                process.wait()
--- a/basaltport/simulation/query_api/planner.py
+++ b/basaltport/simulation/query_api/planner.py
@@ -1,159 +1,206 @@
-"""`basaltport plan`: what a manifest would place, and why not, by the steward's own code on virtual time."""
+"""`basaltport plan`: what a configuration would place, and why not, by the nodes' own code on virtual
+time."""
 
+import dataclasses
 import json
 import sys
+import typing
 
 import absl.flags as flags
+import result
 
-import basaltport.admin.cli as clerk
+import basaltport.admin.cli as admin_cli
 import basaltport.configuration.check as check
-import basaltport.query_api.events as events
 import basaltport.identifiers as identifiers
-import basaltport.simulation.query_api.world.world as world
+import basaltport.query_api.events as query_events
+import basaltport.simulation.query_api.world.rows as rows
+import basaltport.simulation.query_api.world.world as worlds
+import basaltport.simulation.query_api.world.world_base as world_base
+import basaltport.simulation.trace as trace
 import basaltport.verbs as verbs
 
-SETTLE = 3000
-BOUND = 60_000
-NEWS = 600
+QUIET_MS = 3000
+STEP_MS = 100
+BOUND_MS = 60_000
+PREWARM_MS = 4000
+UPDATE_MS = 600
+USAGE = 2
 
+Document = world_base.Document
 
-class PlanWorld(world.World):
-    """One ledger, one rostrum and the platform's own replicas, with loads that take no time worth naming."""
 
-    def add_listed(self, platform, groups):
-        for r, row in platform.items():
-            self.preset["groups"][row["group"]] = groups.get(row["group"], {"room": 0, "slots": 1})
-            self.add_replica(r, row["zone"], row["group"])
+class PlanWorld(worlds.World):
+    """One node of each role and the platform's own replicas, with loads that take no time worth naming."""
 
+    def add_listed(self, platform: Document, groups: Document) -> None:
+        """Replicas as the platform lists them."""
+        for replica_id, row in platform.items():
+            self.preset.groups[row["group"]] = groups.get(row["group"], {"room": 0, "slots": 1})
+            self.add_replica(replica_id, row["zone"], row["group"])
 
-def preset(manifest):
-    return {
-        "house": "plan",
-        "ledgers": 1,
-        "rostrums": 1,
-        "zones": 1,
-        "groups": {},
-        "load_ms_per_size": 1,
-        "service_ms": {},
-        "loads": manifest["store"]["loads"],
-    }
+    def settle_down(self) -> None:
+        """Runs until no load is under way and nothing was ordered for a while."""
+        end = self.now + BOUND_MS
+        seen, since = -1, self.now
+        while self.now < end and self.now - since < QUIET_MS:
+            self.run(STEP_MS)
+            orders = len(trace.of_kind(self.trace, rows.Order))
+            if orders != seen:
+                seen, since = orders, self.now
+
+    def holders(self) -> dict[str, list[str]]:
+        """By item, the replicas that hold it."""
+        holders: dict[str, list[str]] = {}
+        for replica_id, replica in self.replicas.items():
+            for item in replica.logic.held:
+                holders.setdefault(item, []).append(replica_id)
+        return holders
 
 
-def settle(w):
-    """Until no load is under way and nothing was ordered for a while."""
-    end = w.now + BOUND
-    seen, at = -1, w.now
-    while w.now < end and w.now - at < SETTLE:
-        w.run(100)
-        n = sum(1 for r in w.trace if r["k"] == "order")
-        if n != seen:
-            seen, at = n, w.now
+@dataclasses.dataclass(slots=True)
+class Plan:
+    """`kept`, `asked`: replicas by item, of those that are kept loaded and of those that are loaded when
+    requested; `not_placed`: why, by item; `evicted`: items that had to go, by the item that took their
+    room."""
 
+    kept: dict[str, list[str]] = dataclasses.field(default_factory=dict)
+    asked: dict[str, list[str]] = dataclasses.field(default_factory=dict)
+    not_placed: dict[str, str] = dataclasses.field(default_factory=dict)
+    evicted: dict[str, list[str]] = dataclasses.field(default_factory=dict)
+    replicas: dict[str, Document] = dataclasses.field(default_factory=dict)
 
-def held(w):
-    out = {}
-    for r, s in w.replicas.items():
-        for i in s.logic.held:
-            out.setdefault(i, []).append(r)
-    return out
 
+def preset(configuration: Document) -> world_base.Preset:
+    """One node of each role, and no replicas yet."""
+    return world_base.Preset("plan", 1, 1, 1, {}, 1, {}, configuration["store"]["loads"])
 
-def plan(manifest, platform):
+
+def plan(configuration: Document, platform: Document) -> Document:
     """Placement of what is kept loaded, then of each other item asked for in turn."""
-    w = PlanWorld(1, preset(manifest))
-    w.add_listed(platform, manifest["groups"])
-    w.build()
-    w.run_until(lambda: w.leader() is not None, BOUND)
-    w.must("platform", {"replicas": w.platform_list()})
-    w.must("apply", {"manifest": manifest})
-    n = w.nodes["rostrum-1"]
-    w.run_until(lambda: n.member.leased() and n.member.owned_zones, BOUND)
-    settle(w)
-    rules = n.member.rules
-    kept = held(w)
-    out = {"kept": {}, "asked": {}, "not_placed": {}, "evicted": {}}
-    for i, r in sorted(rules.items.items()):
-        if r.kept:
-            out["kept"][i] = sorted(kept.get(i, []))
-            want = min(r.copies, len(rules.zones))
-            if len(kept.get(i, [])) < want:
-                out["not_placed"][i] = f"{len(kept.get(i, []))} of {want} copies"
-    for i, r in sorted(rules.items.items()):
-        if r.kept:
-            continue
-        before = held(w)
-        w.give(n, n.incarnation, events.PrewarmRequested(w.now, [identifiers.Item(i)]))
-        said = {}
-
-        def here(i=i, said=said):
-            for d in n.member.owned_zones.values():
-                said.update({k: v for k, v in d.rejected.items() if k == i})
-            return i in held(w)
-
-        w.run_until(here, 4000)
-        w.run(NEWS)
-        now = held(w)
-        gone = sorted(j for j in before if j not in now)
-        if gone:
-            out["evicted"][i] = gone
-        if i in now:
-            out["asked"][i] = sorted(now[i])
-        else:
-            out["not_placed"][i] = said.get(i, "no answer in time")
-    out["replicas"] = {
-        r: {"room": s.logic.room, "used": s.logic.used(), "zone": s.row["zone"]}
-        for r, s in w.replicas.items()
+    world = PlanWorld(1, preset(configuration))
+    world.add_listed(platform, configuration["groups"])
+    world.build()
+    world.run_until(lambda: world.leader() is not None, BOUND_MS)
+    world.must("platform", {"replicas": world.platform_list()})
+    world.must("apply", {"manifest": configuration})
+    node = world.nodes[f"{world_base.QUERY_NODE}-1"]
+    world.run_until(lambda: node.member.leased() and node.member.owned_zones, BOUND_MS)
+    world.settle_down()
+    placed = Plan()
+    rules = sorted(node.member.rules.items.items())
+    place_kept(placed, [(item, rule) for item, rule in rules if rule.kept], world)
+    for item in [item for item, rule in rules if not rule.kept]:
+        place_requested(placed, item, node, world)
+    placed.replicas = {
+        replica_id: {
+            "room": replica.logic.room,
+            "used": replica.logic.used(),
+            "zone": replica.row["zone"],
+        }
+        for replica_id, replica in world.replicas.items()
     }
-    return out
-
-
-def define(fv):
-    flags.DEFINE_string("platform", None, "The list of replicas, as `platform` takes it.", flag_values=fv)
-    flags.DEFINE_bool("json", False, "Print the plan as JSON.", flag_values=fv)
-
-
-def run(fv, args):
-    if clerk.need(args, 1, "a manifest file"):
-        return 2
-    docs = []
-    for path in (args[0], fv.platform or ""):
-        doc, bad = clerk.read_doc(path)
-        if bad:
-            print(bad, file=sys.stderr)
-            return 2
-        docs.append(doc)
-    fs = []
-    for got in (check.manifest(docs[0]), check.platform(docs[1])):
-        fs += got.err_value if got.is_err() else []
-    if not fs:
-        for r, row in docs[1].items():
-            if row["group"] not in docs[0]["groups"]:
-                fs.append({"place": f"{r}.group", "finding": f"no group {row['group']!r} in the manifest"})
-            if row["zone"] not in docs[0]["zones"]:
-                fs.append({"place": f"{r}.zone", "finding": f"no zone {row['zone']!r} in the manifest"})
-    for f in fs:
-        print(f"{f['place']}: {f['finding']}", file=sys.stderr)
-    if fs:
-        return 2
-    p = plan(*docs)
-    if fv.json:
-        print(json.dumps(p, sort_keys=True))
+    return dataclasses.asdict(placed)
+
+
+def place_kept(placed: Plan, kept: list[tuple[str, typing.Any]], world: PlanWorld) -> None:
+    """What is kept loaded: a copy in every zone, or as many as are wanted."""
+    holders = world.holders()
+    zones = len(world.nodes[f"{world_base.QUERY_NODE}-1"].member.rules.zones)
+    for item, rule in kept:
+        copies = holders.get(item, [])
+        placed.kept[item] = sorted(copies)
+        needed = min(rule.copies, zones)
+        if len(copies) < needed:
+            placed.not_placed[item] = f"{len(copies)} of {needed} copies"
+
+
+def place_requested(placed: Plan, item: str, node: world_base.Node, world: PlanWorld) -> None:
+    """What is loaded when it is requested, and what must go for it."""
+    before = world.holders()
+    event = query_events.PrewarmRequested(world.now, [identifiers.Item(item)])
+    world.give(node, node.incarnation, event)
+    rejected: dict[str, str] = {}
+
+    def is_held() -> bool:
+        """Whether some replica holds it; remembers why it was rejected meanwhile."""
+        for zone in node.member.owned_zones.values():
+            rejected.update({of: why for of, why in zone.rejected.items() if of == item})
+        return item in world.holders()
+
+    world.run_until(is_held, PREWARM_MS)
+    world.run(UPDATE_MS)
+    after = world.holders()
+    gone = sorted(other for other in before if other not in after)
+    if gone:
+        placed.evicted[item] = gone
+    if item in after:
+        placed.asked[item] = sorted(after[item])
+    else:
+        placed.not_placed[item] = rejected.get(item, "no answer in time")
+
+
+def define(flag_values: flags.FlagValues) -> None:
+    """The command's flags."""
+    listed = "The list of replicas, as `platform` takes it."
+    flags.DEFINE_string("platform", None, listed, flag_values=flag_values)
+    flags.DEFINE_bool("json", False, "Print the plan as JSON.", flag_values=flag_values)
+
+
+def problems(configuration: Document, platform: Document) -> list[Document]:
+    """What is wrong with a configuration and a list of replicas, by place."""
+    found: list[Document] = []
+    for checked in (check.manifest(configuration), check.platform(platform)):
+        if isinstance(checked, result.Err):
+            found += checked.err_value
+    if found:
+        return found
+    for replica_id, row in platform.items():
+        for part, key in (("group", "groups"), ("zone", "zones")):
+            if row[part] not in configuration[key]:
+                text = f"no {part} {row[part]!r} in the manifest"
+                found.append({"place": f"{replica_id}.{part}", "finding": text})
+    return found
+
+
+def run(flag_values: flags.FlagValues, args: list[str]) -> int:
+    """The command: 0 where all is placed, 1 where something is not, 2 where it was called in a wrong way."""
+    if admin_cli.need(args, 1, "a manifest file"):
+        return USAGE
+    documents = []
+    for path in (args[0], flag_values.platform or ""):
+        document, unreadable = admin_cli.read_doc(path)
+        if unreadable:
+            print(unreadable, file=sys.stderr)
+            return USAGE
+        documents.append(document)
+    configuration, platform = documents
+    found = problems(configuration, platform)
+    for problem in found:
+        print(f"{problem['place']}: {problem['finding']}", file=sys.stderr)
+    if found:
+        return USAGE
+    placed = plan(configuration, platform)
+    if flag_values.json:
+        print(json.dumps(placed, sort_keys=True))
     else:
-        human(p)
-    return 1 if p["not_placed"] else 0
-
-
-def human(p):
-    rows = [{"item": i, "how": "kept", "on": " ".join(r)} for i, r in p["kept"].items()]
-    rows += [{"item": i, "how": "on demand", "on": " ".join(r)} for i, r in p["asked"].items()]
-    clerk.table(rows, ["item", "how", "on"])
-    clerk.table(
-        [{"replica": r, **v} for r, v in sorted(p["replicas"].items())], ["replica", "zone", "room", "used"]
-    )
-    for i, gone in p["evicted"].items():
-        print(f"{i} takes the room of {', '.join(gone)}")
-    for i, text in p["not_placed"].items():
-        print(f"NOT PLACED {i}: {text}")
+        show(placed)
+    return 1 if placed["not_placed"] else 0
+
+
+def show(placed: Document) -> None:
+    """A plan as tables."""
+    lines = [
+        {"item": item, "how": how, "on": " ".join(on)}
+        for key, how in (("kept", "kept"), ("asked", "on demand"))
+        for item, on in placed[key].items()
+    ]
+    admin_cli.table(lines, ["item", "how", "on"])
+    replicas = [{"replica": name, **row} for name, row in sorted(placed["replicas"].items())]
+    admin_cli.table(replicas, ["replica", "zone", "room", "used"])
+    for item, gone in placed["evicted"].items():
+        print(f"{item} takes the room of {', '.join(gone)}")
+    for item, why in placed["not_placed"].items():
+        print(f"NOT PLACED {item}: {why}")
 
 
 VERBS = {
--- a/basaltport/simulation/query_api/play.py
+++ b/basaltport/simulation/query_api/play.py
@@ -1,145 +1,198 @@
 """`rehearse` plays scenarios by seed; `replay` plays a recorded one again and shows where a rule broke."""
 
 import collections
+import dataclasses
 import json
 import sys
+import typing
 
 import absl.flags as flags
 
-import basaltport.admin.cli as clerk
-import basaltport.simulation.query_api.world.presets as presets
+import basaltport.admin.cli as admin_cli
+import basaltport.simulation.finding as finding
+import basaltport.simulation.query_api.scenarios.mayhem as mayhem
 import basaltport.simulation.query_api.scenarios.scenarios as scenarios
+import basaltport.simulation.query_api.world.presets as presets
+import basaltport.simulation.query_api.world.rows as rows
+import basaltport.simulation.query_api.world.world as worlds
+import basaltport.simulation.query_api.plays as plays
 import basaltport.verbs as verbs
 
 FORMAT = 1
-
-
-def define_rehearse(fv):
-    flags.DEFINE_integer("seed", 1, "The first seed.", flag_values=fv)
-    flags.DEFINE_integer("seeds", 1, "How many seeds from it on.", 1, 100_000, flag_values=fv)
-    flags.DEFINE_enum("preset", None, sorted(presets.PRESETS), "Another size of house.", flag_values=fv)
-    flags.DEFINE_string("trace", None, "Write the last run's trace here.", flag_values=fv)
-    flags.DEFINE_bool("lines", False, "Print each line's latency and fairness.", flag_values=fv)
-    flags.DEFINE_bool("shrink", False, "Shrink a failing mayhem to its fewest faults.", flag_values=fv)
-    flags.DEFINE_bool("packed", False, "Send every message as a frame's bytes.", flag_values=fv)
-
-
-def counts(w):
-    c = collections.Counter()
-    for q in w.queries.values():
-        c[q["outcome"] + (":" + q["code"] if q["code"] else "")] += 1
-    return dict(sorted(c.items()))
-
-
-def by_line(w):
-    """For each line: sent, done, latency, and Jain's index over its senders' shares answered."""
-    rows, count = {}, collections.Counter
-    for q in w.queries.values():
-        r = rows.setdefault(q["line"], {"sent": 0, "ms": [], "who": count(), "all": count()})
-        r["sent"] += 1
-        r["all"][q["sender"]] += 1
-        if q["outcome"] == "done":
-            r["ms"].append(q["end"] - q["at"])
-            r["who"][q["sender"]] += 1
-    for k, r in sorted(rows.items()):
-        ms, xs = sorted(r["ms"]) or [0], [r["who"][s] / n for s, n in r["all"].items()]
-        jain = sum(xs) ** 2 / (len(xs) * sum(x * x for x in xs) or 1)
-        p50, p99 = ms[len(ms) // 2], ms[len(ms) * 99 // 100]
-        line = f"  {k:<10} sent {r['sent']:<6} done {len(r['ms']):<6} p50 {p50:<6} p99 {p99:<6}"
-        yield f"{line} jain {jain:.3f}"
-
-
-def command(p):
-    return f"basaltport rehearse {p.name} --seed={p.seed} --preset={p.preset}"
-
-
-def save(path, p, fs):
-    head = {"format": FORMAT, "scenario": p.name, "seed": p.seed, "preset": p.preset, "findings": fs}
-    with open(path, "w") as f:
-        f.write(json.dumps(head) + "\n")
-        for r in p.w.trace:
-            f.write(json.dumps(r) + "\n")
-
-
-def run_rehearse(fv, args):
+USAGE = 2
+FINDINGS_SHOWN = 5
+AROUND_MS = 20
+NEVER_MS = 10**12
+PERCENT = 100
+
+Document = dict[str, typing.Any]
+
+
+def define_rehearse(flag_values: flags.FlagValues) -> None:
+    """The flags of `rehearse`."""
+    flags.DEFINE_integer("seed", 1, "The first seed.", flag_values=flag_values)
+    flags.DEFINE_integer("seeds", 1, "How many seeds from it on.", 1, 100_000, flag_values=flag_values)
+    sizes = sorted(presets.PRESETS)
+    flags.DEFINE_enum("preset", None, sizes, "Another size of house.", flag_values=flag_values)
+    flags.DEFINE_string("trace", None, "Write the last run's trace here.", flag_values=flag_values)
+    flags.DEFINE_bool("lines", False, "Print each line's latency and fairness.", flag_values=flag_values)
+    shrink = "Shrink a failing mayhem to its fewest faults."
+    flags.DEFINE_bool("shrink", False, shrink, flag_values=flag_values)
+    packed = "Send every message as a frame's bytes."
+    flags.DEFINE_bool("packed", False, packed, flag_values=flag_values)
+
+
+def counts(world: worlds.World) -> dict[str, int]:
+    """How many requests ended in each way."""
+    count: collections.Counter[str] = collections.Counter()
+    for request in world.requests.values():
+        count[request.outcome + (":" + request.code if request.code else "")] += 1
+    return dict(sorted(count.items()))
+
+
+@dataclasses.dataclass(slots=True)
+class QueueFigures:
+    """Of a queue: requests sent, latencies of those that were answered, and both by client."""
+
+    sent: int = 0
+    latencies: list[int] = dataclasses.field(default_factory=list)
+    by_client: collections.Counter[str] = dataclasses.field(default_factory=collections.Counter)
+    answered: collections.Counter[str] = dataclasses.field(default_factory=collections.Counter)
+
+    def fairness(self) -> float:
+        """Jain's index over the clients' shares answered."""
+        shares = [self.answered[client] / sent for client, sent in self.by_client.items()]
+        return sum(shares) ** 2 / (len(shares) * sum(share * share for share in shares) or 1)
+
+
+def by_queue(world: worlds.World) -> typing.Iterator[str]:
+    """A line for each queue: sent, done, latency, fairness."""
+    queues: dict[str, QueueFigures] = {}
+    for request in world.requests.values():
+        figures = queues.setdefault(request.queue, QueueFigures())
+        figures.sent += 1
+        figures.by_client[request.client] += 1
+        if request.outcome == "done":
+            figures.latencies.append(request.ended_at - request.sent_at)
+            figures.answered[request.client] += 1
+    for queue, figures in sorted(queues.items()):
+        latencies = sorted(figures.latencies) or [0]
+        median, high = latencies[len(latencies) // 2], latencies[len(latencies) * 99 // PERCENT]
+        done = len(figures.latencies)
+        line = f"  {queue:<10} sent {figures.sent:<6} done {done:<6} p50 {median:<6} p99 {high:<6}"
+        yield f"{line} jain {figures.fairness():.3f}"
+
+
+def save(path: str, play: plays.Play, findings: list[finding.Finding]) -> None:
+    """Writes a run's findings and its trace, a line of JSON each."""
+    head = {"format": FORMAT, "scenario": play.name, "seed": play.seed, "preset": play.preset}
+    head["findings"] = [found.as_json() for found in findings]
+    with open(path, "w") as file:
+        for line in [head, *map(rows.as_json, play.world.trace)]:
+            file.write(json.dumps(line) + "\n")
+
+
+def run_rehearse(flag_values: flags.FlagValues, args: list[str]) -> int:
+    """The command: 0 where every rule held, 1 where one broke, 2 where it was called in a wrong way."""
     names = list(scenarios.SCENARIOS) if args == ["all"] else args
-    bad = [n for n in names if n not in scenarios.SCENARIOS]
-    if bad or not names:
-        print(f"no scenario {bad}; there are: all {' '.join(scenarios.SCENARIOS)}", file=sys.stderr)
-        return 2
-    worst = 0
-    for name in names:
-        for seed in range(fv.seed, fv.seed + fv.seeds):
-            p = scenarios.Play(name, seed, fv.preset, packed=fv.packed).play()
-            fs = p.findings()
-            word = "ok" if not fs else f"BROKEN {len(fs)}"
-            ms = ",".join(map(str, p.recoveries()))
-            print(
-                f"{name:<22} seed {seed:<5} {p.preset:<7} {word:<10} back {ms:<12} {counts(p.w)}", flush=True
-            )
-            if fv.lines:
-                print("\n".join(by_line(p.w)))
-            if fv.trace:
-                save(fv.trace, p, fs)
-            if fs:
-                worst = 1
-                for f in fs[:5]:
-                    print(f"  {f['rule']} at {f['t']} ms: {f['finding']}")
-                if name == "mayhem" and fv.shrink:
-                    for row in scenarios.shrink(seed, p.preset, {f["rule"] for f in fs}):
-                        print(f"  needs {row}")
-                print(f"  again: {command(p)}")
-    return worst
-
-
-def load(path):
-    """((head, rows), None) or (None, finding)."""
+    unknown = [name for name in names if name not in scenarios.SCENARIOS]
+    if unknown or not names:
+        there_are = " ".join(scenarios.SCENARIOS)
+        print(f"no scenario {unknown}; there are: all {there_are}", file=sys.stderr)
+        return USAGE
+    seeds = range(flag_values.seed, flag_values.seed + flag_values.seeds)
+    return max([int(rehearse(flag_values, name, seed)) for name in names for seed in seeds])
+
+
+def rehearse(flag_values: flags.FlagValues, name: str, seed: int) -> bool:
+    """Plays a scenario with one seed, and prints what came of it; whether a rule broke."""
+    play = plays.Play(name, seed, flag_values.preset, packed=flag_values.packed).play()
+    findings = play.findings()
+    word = "ok" if not findings else f"BROKEN {len(findings)}"
+    back = ",".join(map(str, play.recoveries()))
+    run_of = f"{name:<22} seed {seed:<5} {play.preset:<7}"
+    print(f"{run_of} {word:<10} back {back:<12} {counts(play.world)}", flush=True)
+    if flag_values.lines:
+        print("\n".join(by_queue(play.world)))
+    if flag_values.trace:
+        save(flag_values.trace, play, findings)
+    if findings:
+        show(flag_values, play, findings)
+    return bool(findings)
+
+
+def show(flag_values: flags.FlagValues, play: plays.Play, findings: list[finding.Finding]) -> None:
+    """The first findings of a run, and how to play it again."""
+    for found in findings[:FINDINGS_SHOWN]:
+        print(f"  {found.rule} at {found.at_ms} ms: {found.text}")
+    if play.name == "mayhem" and flag_values.shrink:
+        for fault in mayhem.shrink(play.seed, play.preset, {found.rule for found in findings}):
+            print(f"  needs {tuple(fault)}")
+    print(f"  again: basaltport rehearse {play.name} --seed={play.seed} --preset={play.preset}")
+
+
+class Recorded(typing.NamedTuple):
+    """A trace file: its first line and its rows."""
+
+    head: Document
+    rows: list[Document]
+
+
+def load(path: str) -> Recorded | str:
+    """A trace file, or what is wrong with it."""
     try:
-        with open(path) as f:
-            lines = f.read().split("\n")
-    except OSError as e:
-        return None, f"{path}: {e.strerror}"
-    rows = []
-    for n, line in enumerate(lines[:-1] if lines and lines[-1] == "" else lines):
+        with open(path) as file:
+            lines = file.read().split("\n")
+    except OSError as error:
+        return f"{path}: {error.strerror}"
+    recorded = []
+    for number, line in enumerate(lines[:-1] if lines and lines[-1] == "" else lines):
         try:
-            rows.append(json.loads(line))
+            recorded.append(json.loads(line))
         except ValueError:
-            return None, f"{path}:{n + 1}: garbled or cut short"
-    if not rows or not isinstance(rows[0], dict) or rows[0].get("format") != FORMAT:
-        return None, f"{path}:1: not a trace of format {FORMAT}"
-    if rows[0].get("scenario") not in scenarios.SCENARIOS or rows[0].get("preset") not in presets.PRESETS:
-        return None, f"{path}:1: unknown scenario or preset"
-    return (rows[0], rows[1:]), None
-
-
-def run_replay(fv, args):
-    if clerk.need(args, 1, "a trace file"):
-        return 2
-    got, bad = load(args[0])
-    if bad:
-        print(bad, file=sys.stderr)
-        return 2
-    head, rows = got
-    p = scenarios.Play(head["scenario"], head["seed"], head["preset"]).play()
-    fs = p.findings()
-    for n, (a, b) in enumerate(zip(rows, json.loads(json.dumps(p.w.trace)), strict=False)):
-        if a != b:
-            print(f"differs from row {n + 2} on: recorded {a}, now {b}")
-            break
-    else:
-        same = len(rows) == len(p.w.trace)
-        print("the same run" if same else f"{len(rows)} rows recorded, {len(p.w.trace)} now")
-    if not fs:
+            return f"{path}:{number + 1}: garbled or cut short"
+    head = recorded[0] if recorded else None
+    if not isinstance(head, dict) or head.get("format") != FORMAT:
+        return f"{path}:1: not a trace of format {FORMAT}"
+    if head.get("scenario") not in scenarios.SCENARIOS or head.get("preset") not in presets.PRESETS:
+        return f"{path}:1: unknown scenario or preset"
+    return Recorded(head, recorded[1:])
+
+
+def run_replay(flag_values: flags.FlagValues, args: list[str]) -> int:
+    """The command: plays a recorded run again."""
+    if admin_cli.need(args, 1, "a trace file"):
+        return USAGE
+    recorded = load(args[0])
+    if isinstance(recorded, str):
+        print(recorded, file=sys.stderr)
+        return USAGE
+    head = recorded.head
+    play = plays.Play(head["scenario"], head["seed"], head["preset"]).play()
+    now: list[Document] = json.loads(json.dumps([rows.as_json(row) for row in play.world.trace]))
+    compare(recorded.rows, now)
+    findings = play.findings()
+    if not findings:
         print("no rule broke")
         return 0
-    first = min(fs, key=lambda f: f["t"] if f["t"] >= 0 else 10**12)
-    print(f"first broken: {first['rule']} at {first['t']} ms: {first['finding']}")
-    for r in p.w.trace:
-        if abs(r["t"] - first["t"]) <= 20:
-            print("  " + json.dumps(r))
+    first = min(findings, key=lambda found: found.at_ms if found.at_ms >= 0 else NEVER_MS)
+    print(f"first broken: {first.rule} at {first.at_ms} ms: {first.text}")
+    for row in now:
+        if abs(row["t"] - first.at_ms) <= AROUND_MS:
+            print("  " + json.dumps(row))
     return 1
 
 
+def compare(recorded: list[Document], now: list[Document]) -> None:
+    """Says from which row on a run differs from the recorded one."""
+    for number, (was, row) in enumerate(zip(recorded, now, strict=False)):
+        if was != row:
+            print(f"differs from row {number + 2} on: recorded {was}, now {row}")
+            return
+    same = len(recorded) == len(now)
+    print("the same run" if same else f"{len(recorded)} rows recorded, {len(now)} now")
+
+
 VERBS = {
     "rehearse": verbs.Verb(
         "Play a scenario of faults on virtual time and check every rule.",
--- a/basaltport/simulation/query_api/scenarios/__init__.py
+++ b/basaltport/simulation/query_api/scenarios/__init__.py
@@ -0,0 +1,1 @@
+"""What happens in runs of the JSON API's simulator."""
--- a/basaltport/simulation/query_api/scenarios/mayhem.py
+++ b/basaltport/simulation/query_api/scenarios/mayhem.py
@@ -1,146 +1,210 @@
 """Random schedules of every fault, one on another; a failing one is shrunk to the faults that it needs."""
 
 import random
+import typing
 
-import basaltport.simulation.query_api.world.acts as acts
+import basaltport.simulation.query_api.plays as plays
+import basaltport.simulation.query_api.world.world as worlds
+import basaltport.simulation.query_api.world.world_base as world_base
 
 FAULTS = 12
+LASTS_MS = (200, 5000)
+PAUSE_MS = (100, 1500)
+UNTOUCHED_NODES = 2
+WIPED_SHARE, HALF = 0.3, 0.5
+LINKS_MAX_MS = 4000
+HOLD_MS = 60_000
+DISK_MS = 2500
+PEACE_MS = 5000
 
 
-def schedule(seed):
-    """(fault, two choices in 0 to 1, how long, pause): drawn alone, so leaving one out moves no other."""
+class PlannedFault(typing.NamedTuple):
+    """A fault of a random schedule: two choices in 0 to 1, how long it lasts, and the pause after its
+    begin."""
+
+    kind: str
+    first: float
+    second: float
+    lasts_ms: int
+    pause_ms: int
+
+
+Fault = typing.Callable[[worlds.World, plays.Play, float, float, int], None]
+
+
+def schedule(seed: int) -> list[PlannedFault]:
+    """The faults of a seed; they are drawn alone, so leaving one out moves no other."""
     rng = random.Random(f"mayhem-{seed}")
-    rows = []
+    planned = []
     for _ in range(FAULTS):
-        x, y = rng.random(), rng.random()
-        rows.append((rng.choice(sorted(KINDS)), x, y, rng.randrange(200, 5000), rng.randrange(100, 1500)))
-    return rows
+        first, second = rng.random(), rng.random()
+        kind = rng.choice(sorted(KINDS))
+        lasts_ms, pause_ms = rng.randrange(*LASTS_MS), rng.randrange(*PAUSE_MS)
+        planned.append(PlannedFault(kind, first, second, lasts_ms, pause_ms))
+    return planned
 
 
-def pick(xs, x):
-    xs = sorted(xs)
-    return xs[int(x * len(xs))]
+def pick(names: typing.Iterable[str], point: float) -> str:
+    """The name at this point, from 0 to 1, of all in order."""
+    names = sorted(names)
+    return names[int(point * len(names))]
 
 
-def live(w):
-    return [n.name for n in w.live() + w.live("ledger")]
+def live(world: worlds.World) -> list[str]:
+    """Nodes that run and are not frozen."""
+    return [node.name for node in world.live() + world.live(world_base.LOG_NODE)]
 
 
-def kill(w, p, x, y, ms):
-    names = live(w)
-    if len(names) > len(w.nodes) - 2:
-        name = pick(names, x)
-        w.kill(name, power=True, disk=y < 0.3 and len(names) == len(w.nodes))
-        w.later(min(ms, 4000), w.boot, name)
+def kill(world: worlds.World, play: plays.Play, first: float, second: float, ms: int) -> None:
+    """A node loses power for a while; its disk goes only where all others run."""
+    names = live(world)
+    if len(names) > len(world.nodes) - UNTOUCHED_NODES:
+        name = pick(names, first)
+        world.kill(name, power=True, disk=second < WIPED_SHARE and len(names) == len(world.nodes))
+        world.later(min(ms, LINKS_MAX_MS), world.boot, name)
 
 
-def freeze(w, p, x, y, ms):
-    name = pick(live(w), x)
-    w.freeze(name)
-    w.later(ms, w.wake, name)
+def freeze(world: worlds.World, play: plays.Play, first: float, second: float, ms: int) -> None:
+    """A node is frozen for a while."""
+    name = pick(live(world), first)
+    world.freeze(name)
+    world.later(ms, world.wake, name)
 
 
-def split(w, p, x, y, ms):
-    names = live(w)
-    w.hold = 60_000 if x < 0.5 else None
-    w.split({pick(names, x), pick(names, y)})
-    w.later(min(ms, 4000), w.heal)
+def split(world: worlds.World, play: plays.Play, first: float, second: float, ms: int) -> None:
+    """One or two nodes are cut off from all others; with `first` under a half links hold back what comes."""
+    names = live(world)
+    world.hold = HOLD_MS if first < HALF else None
+    world.split({pick(names, first), pick(names, second)})
+    world.later(min(ms, LINKS_MAX_MS), world.heal)
 
 
-def one_way(w, p, x, y, ms):
-    w.cut(pick(live(w), x), pick(live(w), y), both=False)
-    w.later(min(ms, 4000), w.heal)
+def one_way(world: worlds.World, play: plays.Play, first: float, second: float, ms: int) -> None:
+    """Nothing passes from one node to another."""
+    world.cut(pick(live(world), first), pick(live(world), second), both=False)
+    world.later(min(ms, LINKS_MAX_MS), world.heal)
 
 
-def crash(w, p, x, y, ms):
-    r = pick(w.replicas, x)
-    if w.replicas[r].mode == "up":
-        w.crash_replica(r)
-        w.later(1000, w.start_replica, r)
+def crash(world: worlds.World, play: plays.Play, first: float, second: float, ms: int) -> None:
+    """A replica ends and starts again."""
+    replica = pick(world.replicas, first)
+    if world.replicas[replica].mode == "up":
+        world.crash_replica(replica)
+        world.later(1000, world.start_replica, replica)
 
 
-def ill(w, p, x, y, ms):
-    r = w.replicas[pick(w.replicas, x)]
-    if r.mode != "up":
+def impaired(world: worlds.World, play: plays.Play, first: float, second: float, ms: int) -> None:
+    """A replica is dark, sick or torn for a while."""
+    replica = world.replicas[pick(world.replicas, first)]
+    if replica.mode != "up":
         return
-    r.mode = pick(("dark", "sick", "torn"), y)
-    incarnation = r.incarnation
+    replica.mode = pick(("dark", "sick", "torn"), second)
+    incarnation = replica.incarnation
 
-    def well():
-        if r.incarnation == incarnation:
-            r.mode = "up"
+    def recover() -> None:
+        """It is well again, if it is still the same process."""
+        if replica.incarnation == incarnation:
+            replica.mode = "up"
 
-    w.later(ms, well)
+    world.later(ms, recover)
 
 
-def leave(w, p, x, y, ms):
-    r = pick(w.replicas, x)
-    w.ask(pick(live(w), y), "leaving", {"replica": r, "change": f"leave-{p.t()}"})
+def leave(world: worlds.World, play: plays.Play, first: float, second: float, ms: int) -> None:
+    """A replica leaves, and is listed again later."""
+    replica = pick(world.replicas, first)
+    world.ask(pick(live(world), second), "leaving", {"replica": replica, "change": f"leave-{play.elapsed()}"})
 
-    def listed(all_):
-        rows = w.platform_list()
-        rows = rows if all_ else {k: v for k, v in rows.items() if k != r}
-        w.ask(pick(live(w), y), "platform", {"replicas": rows, "change": f"list-{p.t()}"})
+    def listed(whole: bool) -> None:
+        """The platform lists all, or all but this one."""
+        rows = world.platform_list()
+        rows = rows if whole else {name: row for name, row in rows.items() if name != replica}
+        world.ask(
+            pick(live(world), second), "platform", {"replicas": rows, "change": f"list-{play.elapsed()}"}
+        )
 
-    w.later(3000, listed, False)
-    w.later(4000, listed, True)
+    world.later(3000, listed, False)
+    world.later(4000, listed, True)
 
 
-def empty(w, p, x, y, ms):
-    z = pick(w.manifest["zones"], x)
-    w.ask(pick(live(w), y), "drain", {"zone": z, "change": f"drain-{p.t()}"})
-    w.later(3000, lambda: w.ask(pick(live(w), y), "undrain", {"zone": z, "change": f"undrain-{p.t()}"}))
+def empty(world: worlds.World, play: plays.Play, first: float, second: float, ms: int) -> None:
+    """A zone is drained and taken back."""
+    zone = pick(world.configuration["zones"], first)
+    world.ask(pick(live(world), second), "drain", {"zone": zone, "change": f"drain-{play.elapsed()}"})
+    world.later(
+        3000,
+        lambda: world.ask(
+            pick(live(world), second), "undrain", {"zone": zone, "change": f"undrain-{play.elapsed()}"}
+        ),
+    )
 
 
-def stall(w, p, x, y, ms):
-    name = pick([n.name for n in w.nodes.values() if n.disk], x)
-    w.stall(name, True)
-    w.later(2500, w.stall, name, False)
+def stall(world: worlds.World, play: plays.Play, first: float, second: float, ms: int) -> None:
+    """A disk stalls for a while."""
+    name = pick([node.name for node in world.nodes.values() if node.disk], first)
+    world.stall(name, True)
+    world.later(DISK_MS, world.stall, name, False)
 
 
-def full(w, p, x, y, ms):
-    name = pick([n.name for n in w.nodes.values() if n.disk], x)
-    w.fill(name, True)
-    w.later(2500, w.fill, name, False)
+def full(world: worlds.World, play: plays.Play, first: float, second: float, ms: int) -> None:
+    """A disk is full for a while."""
+    name = pick([node.name for node in world.nodes.values() if node.disk], first)
+    world.fill(name, True)
+    world.later(DISK_MS, world.fill, name, False)
 
 
-def wires(w, p, x, y, ms):
-    w.bad_wires(0.1 * x, 0.1 * y, 1 + int(8 * x))
-    w.later(ms, w.bad_wires, 0, 0, 1)
+def unreliable_links(world: worlds.World, play: plays.Play, first: float, second: float, ms: int) -> None:
+    """Links lose, double and delay messages for a while."""
+    world.bad_links(0.1 * first, 0.1 * second, 1 + int(8 * first))
+    world.later(ms, world.bad_links, 0, 0, 1)
 
 
-def change(w, p, x, y, ms):
-    p.changes(3, 100)
+def change(world: worlds.World, play: plays.Play, first: float, second: float, ms: int) -> None:
+    """Operators change the configuration."""
+    play.changes(3, 100)
 
 
-KINDS = {
+KINDS: dict[str, Fault] = {
     f.__name__: f
-    for f in (kill, freeze, split, one_way, crash, ill, leave, empty, stall, full, wires, change)
+    for f in (
+        kill,
+        freeze,
+        split,
+        one_way,
+        crash,
+        impaired,
+        leave,
+        empty,
+        stall,
+        full,
+        unreliable_links,
+        change,
+    )
 }
 
 
-@acts.scenario()
-def mayhem(p):
+@plays.scenario()
+def mayhem(play: plays.Play) -> None:
     """Faults at random, one on another, then peace."""
-    w = p.w
-    for i, (kind, x, y, ms, pause) in enumerate(schedule(p.seed)):
-        if i not in p.skip:
-            KINDS[kind](w, p, x, y, ms)
-        w.run(pause)
-    w.run(5000)
-    w.bad_wires(0, 0, 1)
-    w.heal()
-    w.must("platform", {"replicas": w.platform_list()})
-    for z in sorted(w.manifest["zones"]):
-        w.must("undrain", {"zone": z})
-    p.back_after()
-
-
-def shrink(seed, preset, rules):
+    world = play.world
+    for index, (kind, first, second, lasts_ms, pause_ms) in enumerate(schedule(play.seed)):
+        if index not in play.skip:
+            KINDS[kind](world, play, first, second, lasts_ms)
+        world.run(pause_ms)
+    world.run(PEACE_MS)
+    world.bad_links(0, 0, 1)
+    world.heal()
+    world.must("platform", {"replicas": world.platform_list()})
+    for zone in sorted(world.configuration["zones"]):
+        world.must("undrain", {"zone": zone})
+    play.back_after()
+
+
+def shrink(seed: int, preset: str, rules: set[str]) -> list[PlannedFault]:
     """The fewest faults (one by one left out) with which a run still breaks one of the rules."""
-    skip = set()
-    for i in range(FAULTS):
-        got = {f["rule"] for f in acts.Play("mayhem", seed, preset, skip=skip | {i}).play().findings()}
+    skip: set[int] = set()
+    for index in range(FAULTS):
+        run = plays.Play("mayhem", seed, preset, skip=skip | {index}).play()
+        got = {found.rule for found in run.findings()}
         if got & rules:
-            skip.add(i)
-    return [row for i, row in enumerate(schedule(seed)) if i not in skip]
+            skip.add(index)
+    return [row for index, row in enumerate(schedule(seed)) if index not in skip]
--- a/basaltport/simulation/query_api/standins/__init__.py
+++ b/basaltport/simulation/query_api/standins/__init__.py
@@ -0,0 +1,1 @@
+"""Stand-ins for replicas, the weight store and the platform."""
--- a/basaltport/simulation/query_api/standins/replica.py
+++ b/basaltport/simulation/query_api/standins/replica.py
@@ -1,123 +1,175 @@
 """A stand-in replica's logic, pure: the same for the simulator and for the HTTP stand-in."""
 
+import dataclasses
+import typing
+
 import basaltport.identifiers as identifiers
 
+Document = dict[str, typing.Any]
+OK = 200
+CONFLICT = 409
+TOO_MANY_REQUESTS = 429
+
+
+@dataclasses.dataclass(slots=True)
+class HeldItem:
+    """`state`: loading, loaded or lost; `size` in the configuration's units; `since`: when the state began,
+    `last`: when a run on it ended last, both in ms; `took`: ms that the load took; `pool`: which holds it."""
+
+    state: str
+    size: int
+    since: int
+    last: int
+    pool: str
+    took: int = 0
+
+
+@dataclasses.dataclass(slots=True)
+class Run:
+    """A run of a request; `end` is None while it lasts."""
+
+    dispatch: str
+    prompt: str
+    item: str
+    at: int
+    end: int | None = None
+
 
 class Replica:
-    def __init__(self, rid, room, slots, epoch, now):
-        self.id = identifiers.ReplicaId(rid)
-        self.room = room
-        self.slots = slots
-        self.epoch = epoch
-        self.born = now
-        self.fence = 0
-        self.serial = 0
-        self.held = {}
-        self.running = {}
-        self.record = []
-        self.most = 0
-        self.broken = []
-        self.said = 0
-
-    def used(self):
-        return sum(h["size"] for h in self.held.values())
-
-    def state(self, now, fence=0):
+    """`fence`, `version`: the highest fence of an order and version of the configuration that it has seen;
+    `held`: items by name; `running`: runs by attempt; `runs`: all runs; `most`: how many ran at once;
+    `broken`: rules that its orders broke; `answers`: how often it told its state."""
+
+    def __init__(self, replica_id: str, room: int, slots: int, epoch: str, now: int) -> None:
+        """It holds nothing; `epoch` names this start of it."""
+        self.id = identifiers.ReplicaId(replica_id)
+        self.room, self.slots = room, slots
+        self.epoch, self.born = epoch, now
+        self.fence = self.version = 0
+        self.held: dict[str, HeldItem] = {}
+        self.running: dict[str, Run] = {}
+        self.runs: list[Run] = []
+        self.most = self.answers = 0
+        self.broken: list[Document] = []
+
+    def used(self) -> int:
+        """The room that is taken."""
+        return sum(held.size for held in self.held.values())
+
+    def running_on(self, item: str) -> int:
+        """How many runs there are on an item."""
+        return sum(1 for run in self.running.values() if run.item == item)
+
+    def state(self, now: int, fence: int = 0) -> Document:
+        """What it tells whoever asks, who shows its fence."""
         self.fence = max(self.fence, fence)
-        self.said += 1
-        held = {}
-        for i, h in self.held.items():
-            row = {"state": h["state"], "size": h["size"], "for_ms": now - h["since"], "pool": h["pool"]}
-            row["running"] = sum(1 for r in self.running.values() if r["item"] == i)
-            row["idle_ms"] = 0 if row["running"] else now - h["last"]
-            row["took_ms"] = h["took"]
-            held[i] = row
+        self.answers += 1
         return {
             "replica": self.id,
             "epoch": self.epoch,
-            "n": self.said,
+            "n": self.answers,
             "up_ms": now - self.born,
             "fence": self.fence,
-            "serial": self.serial,
+            "serial": self.version,
             "room": self.room,
             "slots": self.slots,
             "running": len(self.running),
-            "held": held,
+            "held": {item: self.held_row(item, held, now) for item, held in self.held.items()},
+        }
+
+    def held_row(self, item: str, held: HeldItem, now: int) -> Document:
+        """What it tells of an item that it holds."""
+        running = self.running_on(item)
+        return {
+            "state": held.state,
+            "size": held.size,
+            "for_ms": now - held.since,
+            "pool": held.pool,
+            "running": running,
+            "idle_ms": 0 if running else now - held.last,
+            "took_ms": held.took,
         }
 
-    def order(self, now, body):
+    def order(self, now: int, body: Document) -> tuple[int, Document, str | None]:
         """(status, answer, item to load or None)."""
-        f = body["fence"]
-        if f < self.fence:
-            return 409, {"error": "stale-fence", "ran": "no", "fence": self.fence}, None
-        self.fence = f
-        i = body["item"]
-        h = self.held.get(i)
+        if body["fence"] < self.fence:
+            return CONFLICT, {"error": "stale-fence", "ran": "no", "fence": self.fence}, None
+        self.fence = body["fence"]
+        item = body["item"]
+        held = self.held.get(item)
         if body["do"] == "unload":
-            if h is None or h["state"] != "loaded" or any(r["item"] == i for r in self.running.values()):
-                return 409, {"error": "in-use" if h else "not-held", "ran": "no", **self.state(now)}, None
-            del self.held[i]
-            return 200, self.state(now), None
-        if h is not None:
-            return 200, self.state(now), None
+            return self.unload(now, item, held)
+        if held is not None:
+            return OK, self.state(now), None
         if self.used() + body["size"] > self.room:
-            self.broken.append({"rule": "room", "at": now, "item": i})
-            return 409, {"error": "no-room", "ran": "no", **self.state(now)}, None
-        row = {"state": "loading", "size": body["size"], "since": now}
-        self.held[i] = {**row, "last": now, "took": 0, "pool": body["pool"]}
-        return 200, self.state(now), i
-
-    def loaded(self, now, item):
-        h = self.held.get(item)
-        if h is None or h["state"] != "loading":
+            self.broken.append({"rule": "room", "at": now, "item": item})
+            return CONFLICT, {"error": "no-room", "ran": "no", **self.state(now)}, None
+        self.held[item] = HeldItem("loading", body["size"], now, now, body["pool"])
+        return OK, self.state(now), item
+
+    def unload(self, now: int, item: str, held: HeldItem | None) -> tuple[int, Document, None]:
+        """Drops an item that is not in use."""
+        if held is None or held.state != "loaded" or self.running_on(item):
+            error = "in-use" if held else "not-held"
+            return CONFLICT, {"error": error, "ran": "no", **self.state(now)}, None
+        del self.held[item]
+        return OK, self.state(now), None
+
+    def loaded(self, now: int, item: str) -> None:
+        """A load ends."""
+        held = self.held.get(item)
+        if held is None or held.state != "loading":
             return
-        h.update(state="loaded", took=now - h["since"], since=now, last=now)
+        held.state, held.took = "loaded", now - held.since
+        held.since = held.last = now
 
-    def admit(self, now, dispatch, serial, body):
+    def admit(self, now: int, attempt_id: str, version: int, body: Document) -> tuple[int, str] | None:
         """None, or (status, error) of a refusal: it never ran and never will."""
-        if serial < self.serial:
-            return 409, "stale-serial"
-        self.serial = serial
+        if version < self.version:
+            return CONFLICT, "stale-serial"
+        self.version = version
         item = f"{body['model']}/{body['adapter']}" if body.get("adapter") else body["model"]
-        h = self.held.get(item)
-        if h is None:
-            return 409, "not-held"
-        if h["state"] != "loaded":
-            return 409, "starting"
+        held = self.held.get(item)
+        if held is None:
+            return CONFLICT, "not-held"
+        if held.state != "loaded":
+            return CONFLICT, "starting"
         if len(self.running) >= self.slots:
-            return 429, "busy"
-        self.running[dispatch] = {"item": item, "at": now}
+            return TOO_MANY_REQUESTS, "busy"
+        run = Run(attempt_id, body["prompt"], item, now)
+        self.running[attempt_id] = run
         self.most = max(self.most, len(self.running))
-        self.record.append(
-            {"dispatch": dispatch, "prompt": body["prompt"], "item": item, "at": now, "end": None}
-        )
+        self.runs.append(run)
         return None
 
-    def finish(self, now, dispatch):
-        r = self.running.pop(dispatch, None)
-        if r is None:
+    def finish(self, now: int, attempt_id: str) -> None:
+        """A run ends."""
+        run = self.running.pop(attempt_id, None)
+        if run is None:
             return
-        if r["item"] in self.held:
-            self.held[r["item"]]["last"] = now
-        for x in reversed(self.record):
-            if x["dispatch"] == dispatch:
-                x["end"] = now
+        if run.item in self.held:
+            self.held[run.item].last = now
+        for recorded in reversed(self.runs):
+            if recorded.dispatch == attempt_id:
+                recorded.end = now
                 break
 
 
 class Store:
-    """The weight store's own count of loads at once."""
+    """The weight store's own count of loads at once. `loads`: how many it bears; `most`: how many there
+    were."""
 
-    def __init__(self, loads):
+    def __init__(self, loads: int) -> None:
+        """Nothing loads."""
         self.loads = loads
-        self.now_loading = 0
-        self.most = 0
-        self.total = 0
+        self.now_loading = self.most = self.total = 0
 
-    def begin(self):
+    def begin(self) -> None:
+        """A load begins."""
         self.now_loading += 1
         self.total += 1
         self.most = max(self.most, self.now_loading)
 
-    def end(self):
+    def end(self) -> None:
+        """A load ends."""
         self.now_loading -= 1
--- a/basaltport/simulation/query_api/world/stage.py
+++ b/basaltport/simulation/query_api/world/stage.py
@@ -1,53 +1,73 @@
-"""Worlds ready to play: a preset with its manifest, demand and a founded house."""
+"""Worlds ready to play: a preset with its configuration, demand and a founded cluster."""
 
 import hashlib
 import json
 import pathlib
+import typing
 
+import basaltport.simulation.query_api.world.crowd as crowds
 import basaltport.simulation.query_api.world.presets as presets
-import basaltport.simulation.query_api.world.senders as senders
 import basaltport.simulation.query_api.world.world as world
+import basaltport.simulation.query_api.world.world_base as world_base
 
+Document = world_base.Document
 EXAMPLES = pathlib.Path(__file__).parent.parent.parent.parent / "examples"
+LEADER_MS = 10_000
+LEASES_MS = 5000
 
 
-def example(name):
-    return json.loads((EXAMPLES / name).read_text())
+def example(name: str) -> Document:
+    """A file of the examples."""
+    document: Document = json.loads((EXAMPLES / name).read_text())
+    return document
 
 
-def hashed(token):
+def hashed(token: str) -> str:
+    """What a configuration has of a token."""
     return "sha256:" + hashlib.sha256(token.encode()).hexdigest()
 
 
-def build(preset, seed, **kw):
-    w = world.World(seed, presets.PRESETS[preset], **kw)
-    w.build()
-    return w
+def build(preset: str, seed: int, packed: bool = False) -> world.World:
+    """A world whose nodes are about to start."""
+    built = world.World(seed, presets.PRESETS[preset], packed=packed)
+    built.build()
+    return built
 
 
-def ready(preset, seed, manifest=None, **kw):
-    """A founded house with its manifest in force, its replicas listed and every rostrum leased."""
-    w = build(preset, seed, **kw)
-    assert w.run_until(lambda: w.leader() is not None, 10_000), "no leader"
-    w.manifest = manifest or example(presets.PRESETS[preset]["manifest"])
-    w.must("platform", {"replicas": w.platform_list()})
-    w.must("apply", {"manifest": w.manifest})
-    assert w.run_until(lambda: all(n.member.leased() for n in w.live()), 5000), "not all leased"
-    return w
+def ready(preset: str, seed: int, configuration: Document | None = None, packed: bool = False) -> world.World:
+    """A founded cluster with its configuration in force, its replicas listed and every query node leased."""
+    made = build(preset, seed, packed)
+    assert made.run_until(lambda: made.leader() is not None, LEADER_MS), "no leader"
+    made.configuration = configuration or example(presets.PRESETS[preset].configuration)
+    made.must("platform", {"replicas": made.platform_list()})
+    made.must("apply", {"manifest": made.configuration})
+    leased = made.run_until(lambda: all(node.member.leased() for node in made.live()), LEASES_MS)
+    assert leased, "not all leased"
+    return made
 
 
-def swell(m, lines, senders, models):
-    """A manifest with many more lines, each with many senders, and models."""
-    g = next(iter(m["groups"]))
-    more = {f"extra-{i}": {"size": 1, "group": g, "adapters": {"x": {"size": 1}}} for i in range(models)}
-    base = next(iter(m["lines"].values()))
-    rows = {}
-    for i in range(lines):
-        who = {f"s{j}": hashed(f"{i}.{j}") for j in range(senders)}
-        rows[f"extra-{i}"] = {**base, "senders": who, "items": [f"extra-{i % models}/*"], "prewarm": []}
-    return {**m, "models": {**m["models"], **more}, "lines": {**m["lines"], **rows}}
+def swell(configuration: Document, queues: int, clients: int, models: int) -> Document:
+    """A configuration with many more queues, each with many clients, and models."""
+    group = next(iter(configuration["groups"]))
+    more = {f"extra-{i}": {"size": 1, "group": group, "adapters": {"x": {"size": 1}}} for i in range(models)}
+    base = next(iter(configuration["lines"].values()))
+    rows: dict[str, typing.Any] = {}
+    for i in range(queues):
+        senders = {f"s{j}": hashed(f"{i}.{j}") for j in range(clients)}
+        items = [f"extra-{i % models}/*"]
+        rows[f"extra-{i}"] = {**base, "senders": senders, "items": items, "prewarm": []}
+    return {
+        **configuration,
+        "models": {**configuration["models"], **more},
+        "lines": {**configuration["lines"], **rows},
+    }
 
 
-def crowd(w, preset, seed):
-    d = example(presets.PRESETS[preset]["manifest"].replace(".json", "-demand.json"))
-    return senders.Crowd(w, d, w.manifest, hashed, seed)
+def demand(preset: str) -> Document:
+    """The demand document of a preset."""
+    return example(presets.PRESETS[preset].configuration.replace(".json", "-demand.json"))
+
+
+def crowd(made: world.World, preset: str, seed: int) -> crowds.Crowd:
+    """Clients by the demand document of a preset."""
+    return crowds.Crowd(made, demand(preset), made.configuration, hashed, seed)
--- a/basaltport/simulation/query_api/world/world.py
+++ b/basaltport/simulation/query_api/world/world.py
@@ -1,308 +1,300 @@
-"""The simulator: the daemons' own reducers on virtual time, wires and disks. One seed, one run."""
+"""The simulator of the JSON API: the nodes' own reducers on virtual time, links and disks. One seed, one
+run."""
 
 import random
+import typing
+
+import result
 
 import basaltport.events as events
-import basaltport.query_api.events as query_events
 import basaltport.frames as frames
 import basaltport.identifiers as identifiers
-import basaltport.query_api.log_node as log_node
 import basaltport.member as member
-import basaltport.simulation.query_api.standins.backend as backend
-import basaltport.simulation.query_api.world.senders as senders
-import basaltport.simulation.processes as processes
-import basaltport.simulation.virtual_disk as simdisk
+import basaltport.query_api.events as query_events
+import basaltport.query_api.log_node as log_node
 import basaltport.query_api.query_node as query_node
-
-TICK = 25
-
-
-class Node(processes.Process):
-    """One process: up, frozen or gone."""
-
-    def __init__(self, name, role, zone, addr):
-        super().__init__(name, addr)
-        self.role = role
-        self.zone = zone
-        self.stopping = False
-        self.reason = ""
-
-
-class World(backend.BackendMixin, senders.SenderMixin, processes.Processes[Node]):
-    """`packed` sends every message as a frame's bytes; without it, the same messages go unpacked, faster."""
-
-    def __init__(self, seed, preset, loss=0.0, packed=False):
+import basaltport.simulation.processes as processes
+import basaltport.simulation.query_api.world.backend as backend
+import basaltport.simulation.query_api.world.clients as clients
+import basaltport.simulation.query_api.world.operators as operators
+import basaltport.simulation.query_api.world.rows as rows
+import basaltport.simulation.query_api.world.streams as streams
+import basaltport.simulation.query_api.world.world_base as world_base
+import basaltport.simulation.virtual_disk as virtual_disk
+
+Node = world_base.Node
+TICK_MS = 25
+BOOT_SPREAD_MS = 300
+GRACE_MS = 10_000
+GRACE_SLACK_MS = 500
+LAST_MS = 100
+SEED_BITS = 64
+ID_BITS = 32
+LEASED_EVENT = 42
+"""The number of the event that a member logs when it takes a configuration up."""
+
+
+class World(
+    backend.BackendMixin,
+    clients.ClientMixin,
+    streams.StreamMixin,
+    operators.OperatorMixin,
+):
+    """Nodes, replicas, clients and operators of one preset.
+
+    `loss`, `twice`: shares of messages that are lost and doubled; `packed` sends every message as a frame's
+    bytes; without it, the same messages go unpacked, faster."""
+
+    def __init__(self, seed: int, preset: world_base.Preset, loss: float = 0.0, packed: bool = False) -> None:
+        """Replicas run, nodes are not there yet."""
         super().__init__(seed)
-        self.packed = packed
+        self.packed, self.preset = packed, preset
         self.start = self.now
-        self.preset = preset
-        self.loss = loss
-        self.twice = 0.0
-        self.slow = 1
-        self.hold = None
+        self.loss, self.twice, self.slow, self.hold = loss, 0.0, 1, None
         self.trace = []
-        self.calls = {}
-        self.verbs = {}
-        self.then = {}
-        self.call_n = 0
-        self.frames = 0
-        self.moved = 0
-        self.acked = 0
+        self.configuration = {}
+        self.frames = self.moved = 0
         self.backend_start()
-        self.sender_start()
-
-    # time
+        self.clients_start()
+        self.operators_start()
 
-    def run_until(self, test, ms):
-        """True as soon as the test holds, False if it does not in time."""
-        end = self.now + ms
-        while self.now < end:
-            if test():
-                return True
-            self.run(TICK)
-        return test()
-
-    def log(self, k, **f):
-        self.trace.append({"t": int(self.now - self.start), "k": k, **f})
+    def elapsed(self) -> int:
+        """Ms since the run began."""
+        return int(self.now - self.start)
 
     # nodes
 
-    def build(self):
-        p = self.preset
-        for role, n in (("ledger", p["ledgers"]), ("rostrum", p["rostrums"])):
-            for i in range(n):
-                self.add_node(f"{role}-{i + 1}", role, f"z{i % p['zones'] + 1}")
+    def build(self) -> None:
+        """The nodes of the preset, which start at random within BOOT_SPREAD_MS."""
+        preset = self.preset
+        counts = ((world_base.LOG_NODE, preset.log_nodes), (world_base.QUERY_NODE, preset.query_nodes))
+        for role, count in counts:
+            for i in range(count):
+                self.add_node(f"{role}-{i + 1}", role, f"z{i % preset.zones + 1}")
         for name in self.nodes:
-            self.later(self.rng.randrange(0, 300), self.boot, name)
-
-    def add_node(self, name, role, zone):
-        n = Node(name, role, zone, f"10.0.0.{len(self.by_addr) + 1}:1")
-        self.nodes[name] = n
-        self.by_addr[n.addr] = n
-        if role == "ledger":
-            n.disk = simdisk.VirtualDisk(random.Random(self.rng.random()))
-        return n
-
-    def move(self, name):
-        n = self.nodes[name]
-        del self.by_addr[n.addr]
+            self.later(self.rng.randrange(0, BOOT_SPREAD_MS), self.boot, name)
+
+    def add_node(self, name: str, role: str, zone: str) -> Node:
+        """A node at a new address; it does not run yet."""
+        node = Node(name, role, zone, f"10.0.0.{len(self.by_addr) + 1}:1")
+        self.nodes[name] = node
+        self.by_addr[node.addr] = node
+        if role == world_base.LOG_NODE:
+            node.disk = virtual_disk.VirtualDisk(random.Random(self.rng.random()))
+        return node
+
+    def move(self, name: str) -> None:
+        """A node that does not run gets another address."""
+        node = self.nodes[name]
+        del self.by_addr[node.addr]
         self.moved += 1
-        n.addr = f"10.9.0.{self.moved}:1"
-        self.by_addr[n.addr] = n
-
-    def seeds(self):
-        return [self.nodes[n].addr for n in ("ledger-1", "rostrum-1", "rostrum-2") if n in self.nodes]
-
-    def boot(self, name):
-        n = self.nodes[name]
-        p = self.preset
-        seat = f"{name}-{self.rng.getrandbits(32):08x}"
-        held, promised = None, identifiers.Term()
-        if n.disk is not None:
-            got = n.disk.load()
-            if got.is_err():
-                n.reason = got.err_value
-                self.log("disk-refused", node=name, why=n.reason)
+        node.addr = f"10.9.0.{self.moved}:1"
+        self.by_addr[node.addr] = node
+
+    def seeds(self) -> list[str]:
+        """The addresses that every node knows from its settings."""
+        names = (f"{world_base.LOG_NODE}-1", f"{world_base.QUERY_NODE}-1", f"{world_base.QUERY_NODE}-2")
+        return [self.nodes[name].addr for name in names if name in self.nodes]
+
+    def boot(self, name: str) -> None:
+        """Starts a process, unless its disk can't be read."""
+        node = self.nodes[name]
+        new_id = f"{name}-{self.rng.getrandbits(ID_BITS):08x}"
+        held, current_term = None, identifiers.Term()
+        if node.disk is not None:
+            loaded = node.disk.load()
+            if isinstance(loaded, result.Err):
+                node.reason = loaded.err_value
+                self.record(rows.DiskRefused, name, node.reason)
                 return
-            held, promised = got.ok_value
-            seat = n.seat or seat
-            n.seat = seat
-        exp = p["ledgers"] + p["rostrums"]
+            held, current_term = loaded.ok_value
+            new_id = node.seat = node.seat or new_id
+        node.member = self.start_member(node, new_id, held, current_term)
+        node.incarnation += 1
+        node.frozen = node.stopping = False
+        node.held = []
+        self.record(rows.Boot, name, new_id)
+        self.tick(name, node.incarnation)
+
+    def start_member(
+        self,
+        node: Node,
+        member_id: str,
+        held: world_base.Document | None,
+        current_term: identifiers.Term,
+    ) -> processes.Reducer:
+        """The reducer of a node, with what its disk holds."""
+        preset = self.preset
         me = member.Me(
-            p["house"], name, seat, n.role, n.zone, n.addr, n.addr, self.seeds(), exp, p["ledgers"]
+            preset.house,
+            identifiers.Name(node.name),
+            identifiers.MemberId(member_id),
+            node.role,
+            identifiers.Zone(node.zone),
+            node.addr,
+            node.addr,
+            self.seeds(),
+            preset.log_nodes + preset.query_nodes,
+            preset.log_nodes,
         )
-        seed = self.rng.getrandbits(64)
-        if n.role == "ledger":
-            n.member = log_node.LogNode(me, seed, self.now, held, promised)
-        else:
-            n.member = query_node.QueryNode(me, seed, self.now)
-        n.incarnation += 1
-        n.frozen = False
-        n.stopping = False
-        n.held = []
-        self.log("boot", node=name, seat=seat)
-        self.tick(name, n.incarnation)
-
-    def kill(self, name, power=False, disk=False):
-        """The process ends; with power its unsynced bytes go, with disk its whole folder."""
-        n = self.nodes[name]
-        self.log("kill", node=name, power=power, disk=disk)
-        if n.member is not None:
-            self.cut_senders(n)
-        n.member = None
-        n.incarnation += 1
-        if n.disk is None:
+        seed = self.rng.getrandbits(SEED_BITS)
+        log: typing.Any = log_node.LogNode
+        query: typing.Any = query_node.QueryNode
+        if node.role == world_base.LOG_NODE:
+            return log(me, seed, self.now, held, current_term)
+        return query(me, seed, self.now)
+
+    def kill(self, name: str, power: bool = False, disk: bool = False) -> None:
+        """The process ends; with `power` its unsynced bytes go, with `disk` its whole folder."""
+        node = self.nodes[name]
+        self.record(rows.Kill, name, power, disk)
+        if node.member is not None:
+            self.cut_clients(node)
+        node.member = None
+        node.incarnation += 1
+        if node.disk is None:
             return
         if disk:
-            n.disk = simdisk.VirtualDisk(random.Random(self.rng.random()))
-            n.seat = ""
+            node.disk = virtual_disk.VirtualDisk(random.Random(self.rng.random()))
+            node.seat = ""
             return
-        n.disk.power_loss()
-
-    def stop(self, name):
-        """The process ends in good order: what it holds is finished first, within ten seconds."""
-        n = self.nodes[name]
-        self.log("stop", node=name)
-        n.stopping = True
-        end = self.now + 10_000
-        self.run_until(lambda: not getattr(n.member, "requests", None) or self.now >= end, 10_500)
-        self.step(n, events.Stop(self.now))
-        self.run(100)
+        node.disk.power_loss()
+
+    def stop(self, name: str) -> None:
+        """The process ends in good order: what it holds is finished first, within GRACE_MS."""
+        node = self.nodes[name]
+        self.record(rows.Stop, name)
+        node.stopping = True
+        end = self.now + GRACE_MS
+        takes_requests = node.role == world_base.QUERY_NODE
+
+        def finished() -> bool:
+            """Whether nothing is in flight, or the time is over."""
+            in_flight = takes_requests and node.member is not None and node.member.requests
+            return not in_flight or self.now >= end
+
+        self.run_until(finished, GRACE_MS + GRACE_SLACK_MS)
+        self.step(node, events.Stop(self.now))
+        self.run(LAST_MS)
         self.kill(name)
 
-    def freeze(self, name):
-        self.log("freeze", node=name)
+    def freeze(self, name: str) -> None:
+        """SIGSTOP."""
+        self.record(rows.Freeze, name)
         self.nodes[name].frozen = True
 
-    def wake(self, name):
-        n = self.nodes[name]
-        if n.member is None or not n.frozen:
+    def wake(self, name: str) -> None:
+        """SIGCONT: what came meanwhile is delivered."""
+        node = self.nodes[name]
+        if node.member is None or not node.frozen:
             return
-        self.log("wake", node=name)
-        n.frozen = False
-        held, n.held = n.held, []
-        self.deliver_late(n, held)
-
-    def tick(self, name, incarnation):
-        n = self.nodes[name]
-        if n.incarnation != incarnation or n.member is None:
+        self.record(rows.Wake, name)
+        node.frozen = False
+        held, node.held = node.held, []
+        self.deliver_late(node, held)
+
+    def tick(self, name: str, incarnation: int) -> None:
+        """The timer of a process; leases at an old configuration are told in the trace."""
+        node = self.nodes[name]
+        if node.incarnation != incarnation or node.member is None:
             return
-        if not n.frozen:
-            self.step(n, events.Tick(self.now))
-            if n.role == "rostrum" and n.member.leased() and n.member.book["mserial"] < self.acked:
-                self.log("stale-lease", node=n.name, serial=n.member.book["mserial"], acked=self.acked)
-        self.later(TICK, self.tick, name, incarnation)
-
-    def step(self, n, ev):
-        if (
-            isinstance(ev, query_events.AttemptEnded)
-            and ev.outcome in ("late", "broken")
-            and ev.detail != "abandoned"
-        ):
-            self.log("fate", node=n.name, query=ev.attempt_id.rsplit(".", 1)[0], outcome=ev.outcome)
-        self.carry_out(n, n.member.step(ev))
-
-    def leader(self):
-        for n in self.nodes.values():
-            if n.member is not None and n.role == "ledger" and n.member.leading and n.member.settled():
-                return n
+        if not node.frozen:
+            self.step(node, events.Tick(self.now))
+            if node.role == world_base.QUERY_NODE and node.member.leased():
+                version = node.member.book["mserial"]
+                if version < self.acked:
+                    self.record(rows.StaleLease, name, version, self.acked)
+        self.later(TICK_MS, self.tick, name, incarnation)
+
+    def step(self, node: Node, event: processes.Event) -> None:
+        """One step of a reducer, with its effects; attempts that are lost are told in the trace."""
+        if isinstance(event, query_events.AttemptEnded):
+            lost = event.outcome in ("late", "broken") and event.detail != "abandoned"
+            if lost:
+                request_id = event.attempt_id.rsplit(".", 1)[0]
+                self.record(rows.AttemptLost, node.name, request_id, event.outcome)
+        self.carry_out(node, node.member.step(event))
+
+    def leader(self) -> Node | None:
+        """The node that leads and has committed something in its term, or None."""
+        for node in self.nodes.values():
+            if node.member is not None and node.role == world_base.LOG_NODE:
+                if node.member.leading and node.member.settled():
+                    return node
         return None
 
-    def live(self, role="rostrum"):
-        return [n for n in self.nodes.values() if n.role == role and n.member is not None and not n.frozen]
-
-    # wires
+    # links
 
-    def cut(self, a, b, both=True):
-        """Nothing goes from a to b any more; with both, nor back."""
-        self.log("cut", a=a, b=b, both=both)
-        super().cut(a, b, both)
+    def cut(self, source: str, target: str, both: bool = True) -> None:
+        """Nothing passes in this direction any more; with `both`, nor in the other one."""
+        self.record(rows.Cut, source, target, both)
+        super().cut(source, target, both)
 
-    def split(self, left):
-        right = [n for n in self.nodes if n not in left]
-        self.log("split", left=sorted(left))
-        for a in left:
-            for b in right:
-                self.cuts |= {(a, b), (b, a)}
+    def split(self, left: typing.Collection[str]) -> None:
+        """Cuts these processes off from all others."""
+        right = [name for name in self.nodes if name not in left]
+        self.record(rows.Split, tuple(sorted(left)))
+        for name in left:
+            for other in right:
+                super().cut(name, other)
 
-    def bad_wires(self, loss, twice, slow):
-        """Frames lost, doubled and slow, as shares and a factor."""
-        self.log("wires", bad=loss > 0 or slow > 1, loss=loss, twice=twice, slow=slow)
+    def bad_links(self, loss: float, twice: float, slow: int) -> None:
+        """Messages are lost and doubled, as shares, and slow, by a factor."""
+        self.record(rows.BadLinks, loss > 0 or slow > 1, loss, twice, slow)
         self.loss, self.twice, self.slow = loss, twice, slow
 
-    def heal(self):
-        """What wires held through the cut comes now, in its order, as far as they hold that long."""
-        self.log("heal")
+    def heal(self) -> None:
+        """What links held back through the cut comes now, in its order, as far as they hold that long."""
+        self.record(rows.Heal)
         self.cuts = set()
         self.release_held((self.hold or 0) + 1)
 
-    def do_send(self, n, e):
-        to = self.by_addr.get(e.addr)
-        if to is None:
+    def do_send(self, node: Node, effect: events.Send) -> None:
+        """Sends a message to whoever is at the address."""
+        receiver = self.by_addr.get(effect.addr)
+        if receiver is None:
             return
         self.frames += 1
-        raw = frames.pack(e.msg) if self.packed else e.msg
-        times = 2 if self.rng.random() < self.twice else 1
-        for _ in range(times):
-            if (n.name, to.name) in self.cuts and self.hold is not None:
-                self.held.append((self.now, self.arrive, (n.name, to, raw)))
+        message = frames.pack(effect.msg) if self.packed else effect.msg
+        is_cut = (node.name, receiver.name) in self.cuts
+        for _ in range(2 if self.rng.random() < self.twice else 1):
+            if is_cut and self.hold is not None:
+                self.held.append((self.now, self.arrive, (node.name, receiver, message)))
                 continue
-            if (n.name, to.name) in self.cuts or self.rng.random() < self.loss:
+            if is_cut or self.rng.random() < self.loss:
                 continue
-            self.at(self.wire(n, to), self.arrive, n.name, to, raw)
+            self.at(self.arrival(node, receiver), self.arrive, node.name, receiver, message)
 
-    def wire(self, n, to):
-        """When a frame arrives: wires keep order, save where frames are lost and doubled."""
-        at = self.now + (self.rng.randrange(1, 4) * self.slow if to is not n else 0)
+    def arrival(self, node: Node, receiver: Node) -> float:
+        """When a message arrives: links keep order, save where messages are lost and doubled."""
+        time = self.now + (self.rng.randrange(1, 4) * self.slow if receiver is not node else 0)
         if self.loss:
-            return at
-        return self.in_order((n.name, to.name, n.incarnation, to.incarnation), at)
+            return time
+        link = (node.name, receiver.name, node.incarnation, receiver.incarnation)
+        return self.in_order(link, time)
 
-    def arrive(self, src, to, raw):
-        if (src, to.name) in self.cuts or to.member is None:
+    def arrive(self, source: str, receiver: Node, message: object) -> None:
+        """A message reaches whoever runs at the receiver's address by then."""
+        if (source, receiver.name) in self.cuts or receiver.member is None:
             return
-        msg = frames.unpack(raw).ok_value if self.packed else raw
-        self.give(to, to.incarnation, events.Heard(self.now, src, msg))
+        if isinstance(message, bytes):
+            message = frames.unpack(message).unwrap()
+        self.give(receiver, receiver.incarnation, events.Heard(self.now, source, message))
 
-    # disk, log, operators
+    # disks, events
 
-    def stall(self, name, on):
-        self.log("stall", node=name, on=on)
+    def stall(self, name: str, on: bool = True) -> None:
+        """A disk stalls, or goes on."""
+        self.record(rows.Stall, name, on)
         super().stall(name, on)
 
-    def fill(self, name, on):
-        self.log("full", node=name, on=on)
+    def fill(self, name: str, on: bool) -> None:
+        """A disk is full, or no longer."""
+        self.record(rows.Full, name, on)
         self.nodes[name].disk.full = on
 
-    def do_note(self, n, e):
-        f = {("f_" + k): v for k, v in e.fields.items()}
-        if e.number == 42:
-            f["leased"] = n.member.leased()
-        self.log("note", node=n.name, seat=n.member.me.seat, number=e.number, **f)
-
-    def ask(self, name, verb, body, then=None):
-        """An operator's ask at a node; the answer is kept under the call's id."""
-        n = self.nodes[name]
-        self.call_n += 1
-        call = f"call-{self.call_n}"
-        self.calls[call] = None
-        self.verbs[call] = verb
-        tell = {k: body[k] for k in ("change", "zone", "replica", "if_serial") if k in body}
-        if verb == "platform":
-            tell["listed"] = sorted(body["replicas"])
-        self.log("ask", call=call, node=name, verb=verb, **tell)
-        if then:
-            self.then[call] = then
-        self.give(n, n.incarnation, events.Asked(self.now, call, verb, body))
-        return call
-
-    def do_answer(self, n, e):
-        self.calls[e.call] = (e.status, e.body)
-        b = e.body
-        if b.get("outcome") == "acknowledged" and self.verbs.get(e.call) in ("apply", "patch"):
-            self.acked = max(self.acked, b["serial"])
-        tell = {k: b[k] for k in ("outcome", "serial", "change", "changed") if k in b}
-        if b.get("history"):
-            tell["serial"] = b["history"][-1]["serial"]
-        self.log("answer", call=e.call, node=n.name, status=e.status, **tell)
-        f = self.then.pop(e.call, None)
-        if f:
-            f(e.status, e.body)
-
-    def asked(self, name, verb, body=None, ms=8000):
-        """Ask and run until the answer is here."""
-        call = self.ask(name, verb, body or {})
-        self.run_until(lambda: self.calls[call] is not None, ms)
-        return self.calls[call]
-
-    def must(self, verb, body, ms=20_000):
-        """Repeat a change at live nodes, by its id, until it is acknowledged."""
-        body = {"change": f"must-{self.rng.getrandbits(40):x}", **body}
-        end = self.now + ms
-        while self.now < end:
-            live = self.live() or self.live("ledger")
-            got = self.asked(self.rng.choice(live).name, verb, dict(body)) if live else None
-            if got and got[0] == 200:
-                return got
-            self.run(100)
-        raise AssertionError(f"{verb} not acknowledged in {ms} ms: {got}")
+    def do_note(self, node: Node, effect: events.Note) -> None:
+        """A member logs an event."""
+        leased = node.member.leased() if effect.number == LEASED_EVENT else None
+        member_id, fields = node.member.me.seat, dict(effect.fields)
+        self.record(rows.NoteLogged, node.name, member_id, effect.number, fields, leased)
--- a/basaltport/simulation/routes/control_play.py
+++ b/basaltport/simulation/routes/control_play.py
@@ -9,7 +9,7 @@
 import basaltport.simulation.routes.operator as operator
 import basaltport.simulation.routes.operator_rows as operator_rows
 import basaltport.simulation.routes.plays as plays
-import basaltport.simulation.routes.run_facts as run_facts
+import basaltport.simulation.service_level as service_level
 import basaltport.simulation.trace as trace
 
 WRITE_EVERY_MS = 500
@@ -74,7 +74,7 @@
         world.keep_reading(READ_EVERY_MS)
         world.run(ms)
         world.stop_operators()
-        self.served.append(run_facts.ServedSpan(since, world.elapsed(), share))
+        self.served.append(service_level.ServedSpan(since, world.elapsed(), share))
 
 
 Scenario = typing.Callable[[ControlPlay], None]
--- a/basaltport/simulation/routes/plays.py
+++ b/basaltport/simulation/routes/plays.py
@@ -7,6 +7,7 @@
 import basaltport.simulation.routes.fleet_world as fleet_world
 import basaltport.simulation.routes.request_checks as request_checks
 import basaltport.simulation.routes.run_facts as run_facts
+import basaltport.simulation.service_level as service_level
 
 BEFORE_MS = 4000
 BEFORE_JUDGED_MS = 3000
@@ -49,7 +50,7 @@
         self.name, self.seed, self.preset, self.skip = name, seed, preset, skip
         self.world = self.WORLD(seed, preset, packed)
         self.rng = self.world.rng
-        self.served: list[run_facts.ServedSpan] = []
+        self.served: list[service_level.ServedSpan] = []
         self.final: run_facts.Document | None = None
         self.evacuated_zones: list[str] | None = None
 
@@ -60,7 +61,7 @@
         world.usual()
         start = world.elapsed()
         world.run(BEFORE_MS)
-        self.served.append(run_facts.ServedSpan(start, start + BEFORE_JUDGED_MS, BEFORE_SHARE))
+        self.served.append(service_level.ServedSpan(start, start + BEFORE_JUDGED_MS, BEFORE_SHARE))
         self.SCENARIOS[self.name](self)
         world.traffic(0, [])
         world.heal()
@@ -74,7 +75,7 @@
     def calm(self, ms: int = 3000, share: float = 0.95) -> None:
         """Requests must be served for this long from now on."""
         start = self.world.elapsed()
-        self.served.append(run_facts.ServedSpan(start, start + ms, share))
+        self.served.append(service_level.ServedSpan(start, start + ms, share))
         self.world.run(ms)
 
     def back(self, share: float = 0.8, span: int = 3000) -> None:
--- a/basaltport/simulation/routes/run_facts.py
+++ b/basaltport/simulation/routes/run_facts.py
@@ -4,19 +4,11 @@
 import typing
 
 import basaltport.simulation.routes.timings as timings
+import basaltport.simulation.service_level as service_level
 
 Document = dict[str, typing.Any]
 
 
-@dataclasses.dataclass(frozen=True, slots=True)
-class ServedSpan:
-    """Of the requests that were sent from `start_ms` to before `end_ms`, at least `share` must be served."""
-
-    start_ms: int
-    end_ms: int
-    share: float
-
-
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunFacts:
     """`final`: the configuration that is read back at the end, or None; `evacuated_zones`: those of the
@@ -26,6 +18,6 @@
     timings: timings.Timings
     final: Document | None
     evacuated_zones: list[str] | None
-    served: list[ServedSpan]
+    served: list[service_level.ServedSpan]
     cold_rate: float
     loads_per_s: float
--- a/basaltport/simulation/trace.py
+++ b/basaltport/simulation/trace.py
@@ -24,7 +24,6 @@
 
 
 FILE_NAMES = {
-    "at_ms": "t",
     "try_id": "try",
     "index": "i",
     "rows_seen": "n",
@@ -37,4 +36,6 @@
 def as_json(row: Row) -> dict[str, typing.Any]:
     """A row as a trace file has it."""
     fields = {field.name: getattr(row, field.name) for field in dataclasses.fields(row)}
-    return {"k": row.KIND, **{FILE_NAMES.get(name, name): value for name, value in fields.items()}}
+    at_ms = fields.pop("at_ms")
+    named = {FILE_NAMES.get(name, name): value for name, value in fields.items()}
+    return {"t": at_ms, "k": row.KIND, **named}
--- a/tests/live.py
+++ b/tests/live.py
@@ -1,6 +1,7 @@
 """Hosts with real sockets in one loop, with stand-ins. Waits are for steps, not for time."""
 
 import asyncio
+import dataclasses
 import json
 import os
 import pathlib
@@ -44,7 +45,7 @@
     async def __aenter__(self):
         Watched.stepped = asyncio.Event()
         f = fleet.Fleet("thin", self.folder)
-        f.p = {**presets.PRESETS["thin"], "rostrums": 2, "load_ms_per_size": 5}
+        f.size = dataclasses.replace(presets.PRESETS["thin"], query_nodes=2, load_ms_per_size=5)
         f.plan()
         with open(f.path("standins.json")) as x:
             self.standins = standin.Standins(json.load(x))
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -56,7 +56,7 @@
     at = _cells(w.nodes[name])
     for n in w.live():
         if n.name != name:
-            w.send_query("letters", "birch", "gate", stage.hashed("example-office"), True, node=n.name)
+            w.send_request("letters", "birch", "gate", stage.hashed("example-office"), True, node=n.name)
     w.run(3000)
     other = next(n for n in w.live() if n.name not in (name, *owners))
     assert _cells(w.nodes[name]) == at != _cells(other)
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -61,7 +61,7 @@
             out = []
             for n, (t, raw) in enumerate(KEYED):
                 out.append((t, live.tidy(await house.raw(raw, f"rostrum-{1 + n % 2}"))))
-            return out, [r["prompt"] for s in house.standins.served.values() for r in s.logic.record]
+            return out, [run.prompt for s in house.standins.served.values() for run in s.logic.runs]
 
     out, runs = asyncio.run(run())
     assert len(runs) == 3
@@ -108,7 +108,7 @@
                         "ledger-2", "X"
                     ), t
                 ops.append((t, live.tidy(one)))
-            runs = [r["prompt"] for s in house.standins.served.values() for r in s.logic.record]
+            runs = [run.prompt for s in house.standins.served.values() for run in s.logic.runs]
             return out, ops, runs
 
     out, ops, runs = asyncio.run(run())
--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -2,11 +2,17 @@
 
 import basaltport.events as events
 import basaltport.messages as messages
+import basaltport.simulation.query_api.world.rows as rows
 import basaltport.simulation.query_api.world.stage as stage
+import basaltport.simulation.trace as trace
 
 
 def outcomes(w):
-    return {q["outcome"] for q in w.queries.values()}
+    return {request.outcome for request in w.requests.values()}
+
+
+def notes(w):
+    return trace.of_kind(w.trace, rows.NoteLogged)
 
 
 def test_a_founding_that_reached_only_its_leader_is_taken_up_by_the_next():
@@ -28,7 +34,7 @@
     w.run(10_000)
     c.stop()
     w.run(5000)
-    done = [q for q in w.queries.values() if q["outcome"] == "done"]
+    done = [request for request in w.requests.values() if request.outcome == "done"]
     assert len(done) > 250
     assert outcomes(w) <= {"done", "refused", "gone"}
     assert w.store.most <= 2
@@ -54,7 +60,7 @@
     w.run(15_000)
     assert w.leader() is None
     left = w.live("ledger")[0].member
-    told = [r["f_missing"] for r in w.trace if r["k"] == "note" and r["number"] == 19]
+    told = [row.fields["missing"] for row in notes(w) if row.number == 19]
     assert sorted(gone) in told
     alive = w.live()[0].name
     left.out = []
@@ -81,7 +87,7 @@
     end = n.member.lease_end
     w.step(n, events.Heard(w.now, "", old[0].msg))
     assert n.member.lease_end == end and n.member.book["serial"] == w.leader().member.book["serial"]
-    assert [r["number"] for r in w.trace if r["k"] == "note" and r["number"] == 35] == [35]
+    assert [row.number for row in notes(w) if row.number == 35] == [35]
 
 
 def test_a_new_steward_takes_over_without_loading_anything_again():
@@ -89,7 +95,7 @@
     c = stage.crowd(w, "mid", 1)
     c.start()
     w.run(6000)
-    loads = sum(r["k"] == "load" for r in w.trace)
+    loads = len(trace.of_kind(w.trace, rows.Load))
     for z in ("zone/z1", "zone/z2", "zone/z3"):
         book = w.leader().member.book
         w.kill(book["roster"][book["duties"][z]["owner"]]["name"])
@@ -97,4 +103,4 @@
         dead = [n for n in w.nodes.values() if n.member is None]
         w.boot(dead[0].name)
         w.run(2000)
-    assert sum(r["k"] == "load" for r in w.trace) == loads
+    assert len(trace.of_kind(w.trace, rows.Load)) == loads
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -10,7 +10,9 @@
 import basaltport.consensus.journal as journal
 import basaltport.identifiers as identifiers
 import basaltport.messages as messages
+import basaltport.simulation.query_api.world.rows as rows
 import basaltport.simulation.query_api.world.stage as stage
+import basaltport.simulation.trace as trace
 import basaltport.text as text
 
 DOC = st.recursive(
@@ -46,7 +48,7 @@
 
 def test_a_storm_of_patches_on_a_large_manifest_looks_only_at_what_changed(monkeypatch):
     m = stage.swell(stage.example("thin.json"), 1000, 5, 500)
-    w = stage.ready("mid", 3, manifest=m)
+    w = stage.ready("mid", 3, configuration=m)
     w.run(3000)
     before = len(w.trace)
     shapes, lines, sent = [], [], []
@@ -64,7 +66,7 @@
     w.run(3000)
     assert [got[i][0] for i in range(40)] == [200] * 40 and got[39][1] - t < 2000
     assert sum(shapes) <= 40 and len(lines) <= 40 * 5
-    assert not any(r["k"] == "note" and r["number"] == 15 for r in w.trace[before:])
+    assert not any(row.number == 15 for row in trace.of_kind(w.trace[before:], rows.NoteLogged))
     beats = [x for x in sent if isinstance(x, messages.Beat)]
     assert not any(x.copy for x in beats)
     assert max(len(frames.pack(x)) for x in beats) < 20_000
--- a/tests/test_mutations.py
+++ b/tests/test_mutations.py
@@ -4,7 +4,6 @@
 
 import basaltport.query_api.admin.leader_requests as leader_requests
 import basaltport.query_api.replica_client.pieces as pieces
-import basaltport.query_api.events as events
 import basaltport.consensus.election as election
 import basaltport.consensus.follower as follower
 import basaltport.consensus.follower_lease as follower_lease
@@ -14,7 +13,7 @@
 import basaltport.consensus.replication as replication
 import basaltport.consensus.timing as timing
 import basaltport.query_api.query_proxy.retries as retries
-import basaltport.simulation.query_api.standins.backend as backend
+import basaltport.simulation.query_api.world.backend as backend
 import basaltport.simulation.query_api.scenarios.scenarios as scenarios
 import basaltport.query_api.query_proxy.key_claims as key_claims
 import basaltport.query_api.query_proxy.final_answers as final_answers
@@ -122,15 +121,17 @@
     return pieces.Line(pieces.Kind.PIECE, self.next_number - 1, doc.get("piece"))
 
 
-def _clean_end(self, e, st, outcome):
+def _clean_end(self, exchange, outcome):
     """A stream that broke off is closed as if it were whole."""
-    self.closed(e.request_id, "done", 200, {"reply": e.body["prompt"], "pieces": st["pieces"]})
-    return events.AttemptEnded(self.now, e.attempt_id, "done", 200)
+    effect = exchange.effect
+    answer = {"reply": effect.body["prompt"], "pieces": exchange.pieces}
+    self.close(effect.request_id, "done", 200, answer)
+    return exchange.ended(self.now, "done", 200)
 
 
-def _reply_other(self, n, incarnation, e, st):
-    e.body = {**e.body, "prompt": "p1"}
-    _reply(self, n, incarnation, e, st)
+def _reply_other(self, exchange):
+    exchange.effect.body = {**exchange.effect.body, "prompt": "p1"}
+    _reply(self, exchange)
 
 
 _settle = read_index.ReadIndexMixin.settle
@@ -201,7 +202,7 @@
         monkeypatch.setattr(cls, attr, broken)
     found = set()
     for s in range(seed, seed + 4):
-        found |= {f["rule"] for f in scenarios.Play(name, s).play().findings()}
+        found |= {found.rule for found in scenarios.plays.Play(name, s).play().findings()}
         if rule in found:
             break
     assert rule in found
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -1,6 +1,8 @@
 """Lines while a model loads: bounded, honest at once, one load however many wait, few rounds for a storm."""
 
+import basaltport.simulation.query_api.world.rows as rows
 import basaltport.simulation.query_api.world.stage as stage
+import basaltport.simulation.trace as trace
 import tests.node as node
 
 
@@ -54,11 +56,11 @@
     w.run(4000)
     for n in w.live():
         for _ in range(5):
-            w.send_query("letters", "birch", "", stage.hashed("example-office"), True, node=n.name)
+            w.send_request("letters", "birch", "", stage.hashed("example-office"), True, node=n.name)
     w.run(5000)
-    loads = [r for r in w.trace if r["k"] == "load" and r["item"] == "birch"]
+    loads = [row for row in trace.of_kind(w.trace, rows.Load) if row.item == "birch"]
     assert len(loads) == 1
-    assert [q["outcome"] for q in w.queries.values()] == ["done"] * 25
+    assert [request.outcome for request in w.requests.values()] == ["done"] * 25
     asks = sum(n.member.status_request_number for n in w.live())
     assert asks <= 5 * 12
 
--- a/tests/test_wires.py
+++ b/tests/test_wires.py
@@ -367,7 +367,7 @@
                         out.append((r.status, r.headers["Basaltport-Ran"], (await r.text()).split("\n")[-2:]))
                     for x in h.standins.served.values():
                         x.set_fault("hold")
-            return out, [x["prompt"] for s in h.standins.served.values() for x in s.logic.record]
+            return out, [run.prompt for s in h.standins.served.values() for run in s.logic.runs]
 
     out, runs = asyncio.run(run())
     assert len(runs) == 2 and [o[:2] for o in out] == [(200, "yes")] * 2
