--- a/basaltport/simulation/query_api/planner.py
+++ b/basaltport/simulation/query_api/planner.py
@@ -17,7 +17,7 @@
 import basaltport.simulation.query_api.world.world as worlds
 import basaltport.simulation.query_api.world.world_base as world_base
 import basaltport.simulation.trace as trace
-import basaltport.verbs as verbs
+import basaltport.command_line.command as verbs
 
 QUIET_MS = 3000
 STEP_MS = 100
--- a/basaltport/simulation/query_api/play.py
+++ b/basaltport/simulation/query_api/play.py
@@ -16,7 +16,7 @@
 import basaltport.simulation.query_api.world.rows as rows
 import basaltport.simulation.query_api.world.world as worlds
 import basaltport.simulation.query_api.plays as plays
-import basaltport.verbs as verbs
+import basaltport.command_line.command as verbs
 
 FORMAT = 1
 USAGE = 2
