--- a/basaltport/local_fleet/cli.py
+++ b/basaltport/local_fleet/cli.py
@@ -1,4 +1,4 @@
-"""The verbs `local-fleet` and `local-fleet-process`."""
+"""The commands `local-fleet` and `local-fleet-process`."""
 
 import os
 import signal
@@ -9,7 +9,7 @@
 
 import basaltport.local_fleet.process as process
 import basaltport.local_fleet.runner as runner
-import basaltport.verbs as verbs
+import basaltport.command_line.command as command
 
 POLL_S = 0.2
 LONGEST_S = 3600
@@ -49,7 +49,9 @@
     return 0
 
 
-VERBS = {
-    "local-fleet": verbs.Verb("Run controllers, a proxy and stand-in replicas on this machine.", run, define),
-    "local-fleet-process": verbs.Verb("One process of a local fleet.", process.run, process.define),
+COMMANDS = {
+    "local-fleet": command.Command(
+        "Run controllers, a proxy and stand-in replicas on this machine.", run, define
+    ),
+    "local-fleet-process": command.Command("One process of a local fleet.", process.run, process.define),
 }
--- a/basaltport/model/cli.py
+++ b/basaltport/model/cli.py
@@ -1,4 +1,4 @@
-"""`basaltport model`: long random runs, replays of a schedule, and the exhaustive search."""
+"""`basaltport model-check`: long random runs, replays of a schedule, and the exhaustive search."""
 
 import collections
 import time
@@ -9,7 +9,7 @@
 import basaltport.model.random_search as random_search
 import basaltport.model.run as run
 import basaltport.model.schedule as schedule
-import basaltport.verbs as verbs
+import basaltport.command_line.command as command
 
 HELP = "Controllers, proxies and operators under random troubles in virtual time, every step checked."
 
@@ -28,7 +28,7 @@
     print(f"seed {plan.seed}: {outcome.broken}")
     small = random_search.shrink(plan)
     print(f"  {len(plan.actions)} actions, shrunk to {len(small.actions)}:")
-    print(f"  basaltport model --replay='{schedule.dump(small)}'", flush=True)
+    print(f"  basaltport model-check --replay='{schedule.dump(small)}'", flush=True)
 
 
 def _search(values: flags.FlagValues) -> int:
@@ -74,4 +74,4 @@
     return _search(values)
 
 
-VERBS = {"model": verbs.Verb(HELP, _model, _define)}
+COMMANDS = {"model-check": command.Command(HELP, _model, _define)}
--- a/basaltport/query_api/load_generator/cli.py
+++ b/basaltport/query_api/load_generator/cli.py
@@ -1,4 +1,4 @@
-"""`basaltport paddle`: offer a demand to a house and hold its answers against the replicas' record."""
+"""`query-fleet load`: offer a demand to a cluster and hold its answers against the replicas' record."""
 
 import asyncio
 import json
@@ -11,18 +11,17 @@
 import aiohttp
 import result
 
-import basaltport.admin.cli as admin_cli
+import basaltport.command_line.command as command
+import basaltport.command_line.documents as documents
+import basaltport.command_line.exit_codes as exit_codes
+import basaltport.command_line.output as output
 import basaltport.query_api.load_generator.plan as plan
 import basaltport.query_api.load_generator.shoot as shoot
 import basaltport.query_api.load_generator.verdict as verdict
 import basaltport.simulation.query_api.world.stage as stage
-import basaltport.verbs as verbs
 
 PRESETS = ["furrow", "thin", "tsehay"]
 TOTAL_S = 20
-BROKEN = 1
-BAD_INPUT = 2
-NOBODY_ANSWERED = 4
 
 Json = dict[str, typing.Any]
 
@@ -51,8 +50,10 @@
 
 def read(path: str | pathlib.Path, flag: str) -> result.Result[typing.Any, str]:
     """The document of a file that a flag names."""
-    doc, bad = admin_cli.read_doc(path)
-    return result.Err(f"--{flag} {bad}") if bad else result.Ok(doc)
+    document = documents.read_document(str(path))
+    if isinstance(document, result.Err):
+        return result.Err(f"--{flag} {document.err_value}")
+    return document
 
 
 def demand(fv: flags.FlagValues) -> result.Result[plan.Demand, list[str]]:
@@ -73,12 +74,12 @@
     """Send the demand and judge the answers; the exit code."""
     wanted = demand(fv)
     if isinstance(wanted, result.Err):
-        return told(wanted.err_value)
+        return output.bad_input(*wanted.err_value)
     nodes, record = fv.node, fv.record
     if fv.fleet:
         about = read(fv.fleet, "fleet")
         if isinstance(about, result.Err):
-            return told([about.err_value])
+            return output.bad_input(about.err_value)
         nodes, record = about.ok_value["nodes"], about.ok_value["admin"]
     shots = plan.schedule(wanted.ok_value, fv.seconds, fv.seed)
     tag = f"p{fv.seed}-{os.urandom(3).hex()}"
@@ -86,13 +87,6 @@
     return finish(fv, asyncio.run(shooter.run()), nodes, record)
 
 
-def told(findings: list[str]) -> int:
-    """The exit code of bad input, after its findings were printed."""
-    for finding in findings:
-        print(finding, file=sys.stderr)
-    return BAD_INPUT
-
-
 def finish(fv: flags.FlagValues, shots: list[shoot.Shot], nodes: list[str], record: str | None) -> int:
     """Read the record of runs, print the report, and give the exit code."""
     try:
@@ -100,7 +94,7 @@
         rec = asyncio.run(get(f"http://{record}/record")) if record else None
     except (aiohttp.ClientError, TimeoutError, OSError, ValueError, KeyError) as e:
         print(f"the manifest or the record could not be read: {type(e).__name__}: {e}", file=sys.stderr)
-        return NOBODY_ANSWERED
+        return exit_codes.NOBODY_ANSWERED
     once = {k for k, v in m["lines"].items() if v["once_only"]}
     out = verdict.report(shots, rec, fv.seconds)
     out["findings"] = verdict.findings(shots, once, rec) if rec else None
@@ -110,8 +104,8 @@
         human(out)
     if rec is None:
         print("no record of runs was given: only counts, no verdict", file=sys.stderr)
-        return 0
-    return BROKEN if out["findings"] else 0
+        return exit_codes.DONE
+    return exit_codes.REFUSED if out["findings"] else exit_codes.DONE
 
 
 def human(out: dict[str, typing.Any]) -> None:
@@ -120,7 +114,7 @@
     for k, v in out["lines"].items():
         counts = " ".join(f"{c}={n}" for c, n in sorted(v["counts"].items()))
         rows.append({"line": k, **v, "counts": counts})
-    admin_cli.table(rows, ["line", "sent", "goodput_per_s", "p50_ms", "p90_ms", "p99_ms", "counts"])
+    output.table(rows, ["line", "sent", "goodput_per_s", "p50_ms", "p90_ms", "p99_ms", "counts"])
     print(f"shots left late by p99 {out['send_late_p99_ms']} ms; store {out.get('store')}")
     for f in out["findings"] or []:
         print(f"BROKEN {f['rule']} at {f['place']}: {f['finding']}")
@@ -128,4 +122,8 @@
         print(f"{len(out['findings'])} broken rules")
 
 
-VERBS = {"paddle": verbs.Verb("Offer load and check every answer against the record of runs.", run, define)}
+COMMANDS = {
+    "query-fleet load": command.Command(
+        "Offer load and check every answer against the record of runs.", run, define
+    )
+}
--- a/basaltport/scale/cli.py
+++ b/basaltport/scale/cli.py
@@ -15,7 +15,7 @@
 import basaltport.scale.play as play
 import basaltport.scale.size as size_
 import basaltport.scale.table as table
-import basaltport.verbs as verbs
+import basaltport.command_line.command as command
 
 HOSTS = 36
 PROCESSES = 200
@@ -143,7 +143,7 @@
     flags.DEFINE_string("conf", None, "The part's file, as `scale` writes it.", flag_values=fv)
 
 
-VERBS = {
-    "scale": verbs.Verb("Measure how the control path's cost grows with the fleet.", run, define),
-    "scale-part": verbs.Verb("One process of a scale run.", part.run, define_part),
+COMMANDS = {
+    "scale": command.Command("Measure how the control path's cost grows with the fleet.", run, define),
+    "scale-part": command.Command("One process of a scale run.", part.run, define_part),
 }
--- a/basaltport/simulation/cli.py
+++ b/basaltport/simulation/cli.py
@@ -13,7 +13,7 @@
 import basaltport.simulation.routes.play as routeplay
 import basaltport.simulation.query_api.world.stage as stage
 import basaltport.simulation.query_api.standins.standin as standin
-import basaltport.verbs as verbs
+import basaltport.command_line.command as command
 
 
 def define_standins(fv):
@@ -59,8 +59,10 @@
     return 0
 
 
-VERBS = {
-    "fleet": verbs.Verb("Run a whole fleet with stand-ins on this machine.", run_fleet, define_fleet),
-    "standins": verbs.Verb("Run the stand-ins alone.", run_standins, define_standins),
-    **routeplay.VERBS,
+COMMANDS = {
+    "query-fleet run": command.Command(
+        "Run a whole fleet with stand-ins on this machine.", run_fleet, define_fleet
+    ),
+    "query-fleet stand-ins": command.Command("Run the stand-ins alone.", run_standins, define_standins),
+    **routeplay.COMMANDS,
 }
--- a/basaltport/simulation/query_api/drills/drill.py
+++ b/basaltport/simulation/query_api/drills/drill.py
@@ -17,7 +17,7 @@
 import basaltport.simulation.query_api.drills.fleet as fleet
 import basaltport.simulation.query_api.world.presets as presets
 import basaltport.simulation.query_api.world.stage as stage
-import basaltport.verbs as verbs
+import basaltport.command_line.command as command
 
 
 class Drill:
@@ -274,4 +274,8 @@
     return 1 if out["findings"] else 0
 
 
-VERBS = {"drill": verbs.Verb("A real fleet under load with one fault, checked.", run, define, "NAME")}
+COMMANDS = {
+    "query-fleet drill": command.Command(
+        "A real fleet under load with one fault, checked.", run, define, "NAME"
+    )
+}
--- a/basaltport/simulation/query_api/drills/fleet.py
+++ b/basaltport/simulation/query_api/drills/fleet.py
@@ -115,7 +115,7 @@
     def start(self) -> None:
         """Plan and start all processes."""
         self.plan()
-        self.spawn("standins", "standins", f"--conf={self.path('standins.json')}")
+        self.spawn("standins", "query-fleet", "stand-ins", f"--conf={self.path('standins.json')}")
         for name in self.settings:
             self.start_member(name)
         self.note_ids()
--- a/basaltport/simulation/query_api/planner.py
+++ b/basaltport/simulation/query_api/planner.py
@@ -5,12 +5,13 @@
 
 import absl.flags as flags
 
-import basaltport.admin.cli as clerk
+import basaltport.command_line.documents as documents
+import basaltport.command_line.output as output
 import basaltport.configuration.check as check
 import basaltport.query_api.events as events
 import basaltport.identifiers as identifiers
 import basaltport.simulation.query_api.world.world as world
-import basaltport.verbs as verbs
+import basaltport.command_line.command as command
 
 SETTLE = 3000
 BOUND = 60_000
@@ -113,15 +114,15 @@
 
 
 def run(fv, args):
-    if clerk.need(args, 1, "a manifest file"):
+    if output.lacks_arguments(args, 1, "a manifest file"):
         return 2
     docs = []
     for path in (args[0], fv.platform or ""):
-        doc, bad = clerk.read_doc(path)
-        if bad:
-            print(bad, file=sys.stderr)
+        document = documents.read_document(path)
+        if document.is_err():
+            print(document.err_value, file=sys.stderr)
             return 2
-        docs.append(doc)
+        docs.append(document.ok_value)
     fs = []
     for got in (check.manifest(docs[0]), check.platform(docs[1])):
         fs += got.err_value if got.is_err() else []
@@ -146,8 +147,8 @@
 def human(p):
     rows = [{"item": i, "how": "kept", "on": " ".join(r)} for i, r in p["kept"].items()]
     rows += [{"item": i, "how": "on demand", "on": " ".join(r)} for i, r in p["asked"].items()]
-    clerk.table(rows, ["item", "how", "on"])
-    clerk.table(
+    output.table(rows, ["item", "how", "on"])
+    output.table(
         [{"replica": r, **v} for r, v in sorted(p["replicas"].items())], ["replica", "zone", "room", "used"]
     )
     for i, gone in p["evicted"].items():
@@ -156,6 +157,8 @@
         print(f"NOT PLACED {i}: {text}")
 
 
-VERBS = {
-    "plan": verbs.Verb("Show offline what a manifest would place, and why not.", run, define, "MANIFEST")
+COMMANDS = {
+    "manifest plan": command.Command(
+        "Show offline what a manifest would place, and why not.", run, define, "MANIFEST"
+    )
 }
--- a/basaltport/simulation/query_api/play.py
+++ b/basaltport/simulation/query_api/play.py
@@ -6,10 +6,10 @@
 
 import absl.flags as flags
 
-import basaltport.admin.cli as clerk
+import basaltport.command_line.output as output
 import basaltport.simulation.query_api.world.presets as presets
 import basaltport.simulation.query_api.scenarios.scenarios as scenarios
-import basaltport.verbs as verbs
+import basaltport.command_line.command as command
 
 FORMAT = 1
 
@@ -49,8 +49,8 @@
         yield f"{line} jain {jain:.3f}"
 
 
-def command(p):
-    return f"basaltport rehearse {p.name} --seed={p.seed} --preset={p.preset}"
+def again(p):
+    return f"basaltport simulate queries {p.name} --seed={p.seed} --preset={p.preset}"
 
 
 def save(path, p, fs):
@@ -88,7 +88,7 @@
                 if name == "mayhem" and fv.shrink:
                     for row in scenarios.shrink(seed, p.preset, {f["rule"] for f in fs}):
                         print(f"  needs {row}")
-                print(f"  again: {command(p)}")
+                print(f"  again: {again(p)}")
     return worst
 
 
@@ -113,7 +113,7 @@
 
 
 def run_replay(fv, args):
-    if clerk.need(args, 1, "a trace file"):
+    if output.lacks_arguments(args, 1, "a trace file"):
         return 2
     got, bad = load(args[0])
     if bad:
@@ -140,12 +140,14 @@
     return 1
 
 
-VERBS = {
-    "rehearse": verbs.Verb(
+COMMANDS = {
+    "simulate queries": command.Command(
         "Play a scenario of faults on virtual time and check every rule.",
         run_rehearse,
         define_rehearse,
         "SCENARIO ...|all",
     ),
-    "replay": verbs.Verb("Play a recorded trace again; show where a rule broke.", run_replay, None, "FILE"),
+    "simulate replay": command.Command(
+        "Play a recorded trace again; show where a rule broke.", run_replay, None, "FILE"
+    ),
 }
--- a/basaltport/simulation/routes/play.py
+++ b/basaltport/simulation/routes/play.py
@@ -10,7 +10,7 @@
 import basaltport.simulation.routes.control as control
 import basaltport.simulation.routes.mayhem as routemayhem
 import basaltport.simulation.routes.scenes as routescenes
-import basaltport.verbs as verbs
+import basaltport.command_line.command as command
 
 
 def define(fv):
@@ -93,11 +93,11 @@
     if p.name.startswith("mayhem") and fv.shrink:
         for row in routemayhem.shrink(p.name, p.seed, p.preset, {f["rule"] for f in fs}):
             print(f"  needs {row}")
-    print(f"  again: basaltport rehearse-routes {p.name} --seed={p.seed} --preset={p.preset}", flush=True)
+    print(f"  again: basaltport simulate routes {p.name} --seed={p.seed} --preset={p.preset}", flush=True)
 
 
-VERBS = {
-    "rehearse-routes": verbs.Verb(
+COMMANDS = {
+    "simulate routes": command.Command(
         "Play a scenario on the whole path of routes on virtual time and check every rule.",
         run,
         define,
--- a/tests/test_fleet_cli.py
+++ b/tests/test_fleet_cli.py
@@ -50,7 +50,7 @@
 
 def test_every_controller_gives_the_leader_s_answer(capsys, fleet):
     for page in ("status", "placement"):
-        got = {call(capsys, f"fleet-{page}", f"--node={fleet.served.address(n)}") for n in fleet.names}
+        got = {call(capsys, "fleet", page, f"--node={fleet.served.address(n)}") for n in fleet.names}
         assert len(got) == 1
         code, out, err = got.pop()
         assert (code, err) == (0, "")
@@ -112,13 +112,13 @@
         w.kill(n)
     w.run(7000)
     with fleet_stand.Thread({"k3": admin.controller_admin(fleet_stand.Shell(w, "k3"), lambda: w.now)}) as t:
-        code, out, err = call(capsys, "fleet-status", f"--node={t.address('k3')}")
+        code, out, err = call(capsys, "fleet", "status", f"--node={t.address('k3')}")
         assert code == 1 and err == "no leader\n"
         assert "leader none" in out and "no leader is heard" in out
-        code, out, err = call(capsys, "fleet-placement", "--json", f"--node={t.address('k3')}")
+        code, out, err = call(capsys, "fleet", "placement", "--json", f"--node={t.address('k3')}")
         assert code == 1 and json.loads(out)["leader"] is None
         nodes = f"{t.address('k3')},{fleet.served.address(fleet.other)}"
-        assert call(capsys, "fleet-status", f"--node={nodes}")[0] == 0
+        assert call(capsys, "fleet", "status", f"--node={nodes}")[0] == 0
 
 
 def test_controllers_answer_beside_the_platform_s_calls(fleet):
@@ -151,12 +151,13 @@
 
 def test_a_proxy_s_status_and_what_would_become_of_requests(capsys, proxy):
     m, now, at = proxy
-    out = [call(capsys, "fleet-status", f"--node={at}")]
+    out = [call(capsys, "fleet", "status", f"--node={at}")]
     for path, item in [("/safe/x", "birch"), ("/once/", "alder"), ("/safe/", "cedar"), ("/none/", "birch")]:
         out.append(
             call(
                 capsys,
-                "fleet-explain",
+                "fleet",
+                "explain",
                 f"--node={at}",
                 "--host=desk.example",
                 f"--path={path}",
@@ -216,15 +217,15 @@
 @pytest.mark.parametrize(
     "argv, code, text",
     [
-        (["fleet-status"], 2, "--node: missing"),
-        (["fleet-status", "--node=k1:80"], 2, "--node: 'k1:80' is not an address"),
-        (["fleet-placement", "--node=127.0.0.1:1", "--own"], 2, "Unknown command line flag 'own'"),
-        (["fleet-explain", "--node=x", "--path=a"], 2, "--host: missing\n--path: does not begin"),
-        (["fleet-config"], 2, "needs check FILE"),
-        (["fleet-config", "check", "{bad}"], 2, "not JSON"),
-        (["fleet-config", "check", "--words=nowhere.py", "{bad}"], 2, "--words: nowhere.py"),
-        (["fleet-config", "diff", "{bad}"], 2, "diff: needs 2 files"),
-        (["fleet-status", "--node=127.0.0.1:1"], 1, "nobody answered; 127.0.0.1:1"),
+        (["fleet", "status"], 2, "--node: missing"),
+        (["fleet", "status", "--node=k1:80"], 2, "--node: 'k1:80' is not an address"),
+        (["fleet", "placement", "--node=127.0.0.1:1", "--own"], 2, "Unknown command line flag 'own'"),
+        (["fleet", "explain", "--node=x", "--path=a"], 2, "--host: missing\n--path: does not begin"),
+        (["config"], 2, "needs check FILE, or diff FILE FILE"),
+        (["config", "check", "{bad}"], 2, "not JSON"),
+        (["config", "check", "--words=nowhere.py", "{bad}"], 2, "--words: nowhere.py"),
+        (["config", "diff", "{bad}"], 2, "diff: needs 2 files"),
+        (["fleet", "status", "--node=127.0.0.1:1"], 1, "nobody answered; 127.0.0.1:1"),
     ],
 )
 def test_bad_input_is_2_with_findings_and_nobody_there_1_with_a_line(capsys, tmp_path, argv, code, text):
@@ -237,7 +238,7 @@
 
 def test_another_node_is_asked_where_one_is_not_there(capsys, fleet):
     nodes = f"127.0.0.1:1,{fleet.served.address(fleet.other)}"
-    code, out, _ = call(capsys, "fleet-status", f"--node={nodes}", "--json")
+    code, out, _ = call(capsys, "fleet", "status", f"--node={nodes}", "--json")
     assert code == 0 and json.loads(out)["name"] == fleet.leader
 
 
@@ -252,9 +253,9 @@
     del new["routes"][1]
     new["services"][0]["engine"]["models"].append({"name": "cedar"})
     a, b = file("a", old), file("b", new)
-    assert call(capsys, "fleet-config", "check", a)[:2] == (0, "no findings\n")
-    assert call(capsys, "fleet-config", "diff", a, a)[:2] == (0, "the same\n")
-    code, out, _ = call(capsys, "fleet-config", "diff", a, b)
+    assert call(capsys, "config", "check", a)[:2] == (0, "no findings\n")
+    assert call(capsys, "config", "diff", a, a)[:2] == (0, "the same\n")
+    code, out, _ = call(capsys, "config", "diff", a, b)
     assert code == 1 and out.split("\n")[:-1] == [
         "changed  edition: 1 -> 2",
         "changed  routes.safe.deadline_ms: 3000 -> 4000",
@@ -264,9 +265,9 @@
     ]
     new["routes"][0]["deadline_ms"] = -1
     b = file("b", new)
-    code, out, _ = call(capsys, "fleet-config", "check", b)
+    code, out, _ = call(capsys, "config", "check", b)
     assert code == 2 and out.startswith("routes.0.deadline_ms: not a number over 0\n")
     names = ROOT / "platform" / "names.py"
     lanes = file("c", {"edition": 1, "lanes": [{"name": "x"}], "depots": []})
-    code, out, _ = call(capsys, "fleet-config", "check", f"--words={names}", lanes)
+    code, out, _ = call(capsys, "config", "check", f"--words={names}", lanes)
     assert code == 2 and "lanes.0.pathPrefix: is required\n" in out
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -47,15 +47,15 @@
 
 
 def test_the_verb_reports_and_replays(capsys):
-    assert cli.VERBS["model"].call(["model", "--seeds=2", "--steps=4"]) == 0
+    assert cli.COMMANDS["model-check"].call(["model-check", "--seeds=2", "--steps=4"]) == 0
     assert "seeds 1 to 2, 3 members, 4 actions each: 0 failed" in capsys.readouterr().out
     text = schedule.dump(random_search.draw(1, 3, 3))
-    assert cli.VERBS["model"].call(["model", f"--replay={text}"]) == 0
+    assert cli.COMMANDS["model-check"].call(["model-check", f"--replay={text}"]) == 0
     assert "every check held" in capsys.readouterr().out
 
 
 def test_the_verb_searches_small_scopes(capsys):
-    assert cli.VERBS["model"].call(["model", "--depth=1"]) == 0
+    assert cli.COMMANDS["model-check"].call(["model-check", "--depth=1"]) == 0
     assert "bound 1 reached" in capsys.readouterr().out
 
 
--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -44,43 +44,43 @@
 
 def test_a_recorded_trace_is_the_same_run_again(capsys, tmp_path):
     t = tmp_path / "trace"
-    assert call(capsys, "rehearse", "calm", "--seed=2", f"--trace={t}")[0] == 0
-    code, out, _ = call(capsys, "replay", t)
+    assert call(capsys, "simulate", "queries", "calm", "--seed=2", f"--trace={t}")[0] == 0
+    code, out, _ = call(capsys, "simulate", "replay", t)
     assert code == 0 and "the same run" in out and "no rule broke" in out
     rows = t.read_text().split("\n")
     rows[40] = rows[40].replace('"t": ', '"t": 1')
     t.write_text("\n".join(rows))
-    assert "differs from row 41" in call(capsys, "replay", t)[1]
+    assert "differs from row 41" in call(capsys, "simulate", "replay", t)[1]
 
 
 @pytest.mark.parametrize(
     "argv, text",
     [
-        (["dance"], "no verb 'dance'"),
-        (["check", "nowhere.json"], "nowhere.json: No such file"),
-        (["check"], "needs a manifest file"),
-        (["check", "{bad}"], "not JSON"),
-        (["apply", "{bad}"], "not JSON"),
-        (["check", "--colour=red", "{bad}"], "Unknown command line flag 'colour'"),
-        (["plan", EXAMPLES / "thin.json"], "No such file"),
+        (["dance"], "no command 'dance'"),
+        (["manifest", "check", "nowhere.json"], "nowhere.json: No such file"),
+        (["manifest", "check"], "needs a manifest file"),
+        (["manifest", "check", "{bad}"], "not JSON"),
+        (["manifest", "put", "{bad}"], "not JSON"),
+        (["manifest", "check", "--colour=red", "{bad}"], "Unknown command line flag 'colour'"),
+        (["manifest", "plan", EXAMPLES / "thin.json"], "No such file"),
         (
-            ["plan", EXAMPLES / "thin.json", f"--platform={EXAMPLES / 'furrow-platform.json'}"],
+            ["manifest", "plan", EXAMPLES / "thin.json", f"--platform={EXAMPLES / 'furrow-platform.json'}"],
             "catalog-1.group",
         ),
         (
-            ["plan", EXAMPLES / "thin-platform.json", f"--platform={EXAMPLES / 'thin.json'}"],
+            ["manifest", "plan", EXAMPLES / "thin-platform.json", f"--platform={EXAMPLES / 'thin.json'}"],
             "lines: is required",
         ),
-        (["rehearse", "picnic"], "no scenario"),
-        (["replay", "{bad}"], "garbled or cut short"),
-        (["replay", EXAMPLES / "thin.json"], "garbled or cut short"),
-        (["paddle"], "--demand"),
-        (["paddle", "--demand={bad}"], "not JSON"),
-        (["paddle", f"--demand={EXAMPLES / 'thin.json'}"], "is required"),
+        (["simulate", "queries", "picnic"], "no scenario"),
+        (["simulate", "replay", "{bad}"], "garbled or cut short"),
+        (["simulate", "replay", EXAMPLES / "thin.json"], "garbled or cut short"),
+        (["query-fleet", "load"], "--demand"),
+        (["query-fleet", "load", "--demand={bad}"], "not JSON"),
+        (["query-fleet", "load", f"--demand={EXAMPLES / 'thin.json'}"], "is required"),
         (["rostrum"], "--settings is needed"),
         (["rostrum", "--settings={bad}"], "not JSON"),
         (["ledger", f"--settings={EXAMPLES / 'thin.json'}"], "expected_seats: is required"),
-        (["fleet", "--preset=huge"], "huge"),
+        (["query-fleet", "run", "--preset=huge"], "huge"),
     ],
 )
 def test_bad_input_is_exit_code_2_with_a_finding_and_no_traceback(capsys, tmp_path, argv, text):
@@ -92,7 +92,7 @@
 
 
 def test_nobody_answering_is_exit_code_4(capsys):
-    code, out, _ = call(capsys, "status", "--node=127.0.0.1:1", "--json")
+    code, out, _ = call(capsys, "cluster", "status", "--node=127.0.0.1:1", "--json")
     assert code == 4 and json.loads(out)["changed"] is False
 
 
