--- a/basaltport/placement/demand.py
+++ b/basaltport/placement/demand.py
@@ -4,7 +4,7 @@
 import typing
 
 import basaltport.placement.catalog as catalog
-import basaltport.placement.replica as replica
+import basaltport.placement.replica_state as replica
 
 SLOW = 8000
 FAST = 2000
--- a/basaltport/placement/machine.py
+++ b/basaltport/placement/machine.py
@@ -4,15 +4,15 @@
 import random
 
 import basaltport.placement.catalog as catalog
-import basaltport.placement.choose as choose
+import basaltport.placement.replica_choice as choose
 import basaltport.placement.demand as demand
-import basaltport.placement.facts as facts
-import basaltport.placement.listing as listing
-import basaltport.placement.orders as orders
-import basaltport.placement.replica as replica
+import basaltport.placement.model_status as facts
+import basaltport.placement.replica_inventory as listing
+import basaltport.placement.plan_execution as orders
+import basaltport.placement.replica_state as replica
 import basaltport.placement.state as state
-import basaltport.placement.store as store
-import basaltport.placement.wants as wants
+import basaltport.placement.token_bucket as store
+import basaltport.placement.waiting_items as wants
 
 HOLD = 3700
 WANTED = 1500
--- a/basaltport/placement/facts.py
+++ b/basaltport/placement/model_status.py
@@ -2,7 +2,7 @@
 
 import typing
 
-import basaltport.placement.replica as replica
+import basaltport.placement.replica_state as replica
 import basaltport.placement.state as state
 import basaltport.cold_start.limits as limits
 
--- a/basaltport/placement/choose.py
+++ b/basaltport/placement/replica_choice.py
@@ -3,7 +3,7 @@
 import typing
 
 import basaltport.placement.catalog as catalog
-import basaltport.placement.replica as replica
+import basaltport.placement.replica_state as replica
 import basaltport.placement.state as state
 
 FRESH = 1000
--- a/basaltport/placement/listing.py
+++ b/basaltport/placement/replica_inventory.py
@@ -4,7 +4,7 @@
 
 import basaltport.identifiers as identifiers
 import basaltport.placement.effects as effects
-import basaltport.placement.replica as replica
+import basaltport.placement.replica_state as replica
 import basaltport.placement.state as state
 
 EVERY = 700
--- a/basaltport/placement/state.py
+++ b/basaltport/placement/state.py
@@ -6,9 +6,9 @@
 
 import basaltport.placement.catalog as catalog
 import basaltport.placement.demand as demand
-import basaltport.placement.replica as replica
-import basaltport.placement.store as store
-import basaltport.placement.wants as wants
+import basaltport.placement.replica_state as replica
+import basaltport.placement.token_bucket as store
+import basaltport.placement.waiting_items as wants
 
 Effects = list[typing.Any]
 Row = dict[str, typing.Any]
--- a/tests/test_route_scenarios.py
+++ b/tests/test_route_scenarios.py
@@ -6,10 +6,10 @@
 import basaltport.fleet.follow as follow
 import basaltport.controller.operator_requests as desk
 import basaltport.controller.shard_ownership as duties
-import basaltport.placement.choose as choose
+import basaltport.placement.replica_choice as choose
 import basaltport.placement.machine as machine
-import basaltport.placement.orders as orders
-import basaltport.placement.store as store
+import basaltport.placement.plan_execution as orders
+import basaltport.placement.token_bucket as store
 import basaltport.simulation.routes.mayhem as routemayhem
 import basaltport.simulation.routes.scenes as routescenes
 import basaltport.simulation.virtual_disk as simdisk
