--- a/basaltport/placement/machine.py
+++ b/basaltport/placement/machine.py
@@ -23,7 +23,11 @@
 
 
 class Placement(
-    orders.OrdersMixin, listing.ListingMixin, choose.ChooseMixin, demand.DemandMixin, facts.FactsMixin
+    orders.PlanExecutionMixin,
+    listing.ReplicaInventoryMixin,
+    choose.ReplicaChoiceMixin,
+    demand.DemandMixin,
+    facts.ModelStatusMixin,
 ):
     """Every call gives a list of effects (`effects`). `rows` by replica id; `changed` ids since it was last
     emptied by the owner. Times in ms; `hold_ms` after `start` nothing is ordered, `list_ms` between lists.
@@ -64,7 +68,7 @@
         self.known = self.dirty = False
         self.changed |= set(self.rows)
         self.rows = {}
-        self.buckets: dict[str, store.Bucket] = {}
+        self.buckets: dict[str, store.TokenBucket] = {}
         self.permits: dict[str, float] = {}
         self.disks: dict[str, set[str]] = {}
         self.ready_at = 0
@@ -106,7 +110,7 @@
         """A bucket of permits for each service, at its rate."""
         for s in self.cat.services.values():
             if s.name not in self.buckets:
-                self.buckets[s.name] = store.Bucket(s.rate, max(self.now, self.ready_at))
+                self.buckets[s.name] = store.TokenBucket(s.rate, max(self.now, self.ready_at))
             self.buckets[s.name].change(s.rate, self.now)
 
     def count_permits(self) -> None:
--- a/basaltport/placement/model_status.py
+++ b/basaltport/placement/model_status.py
@@ -18,7 +18,7 @@
     Needs = object
 
 
-class FactsMixin(Needs):
+class ModelStatusMixin(Needs):
     """Answers what becomes of requests for an item."""
 
     now: int
--- a/basaltport/placement/plan_execution.py
+++ b/basaltport/placement/plan_execution.py
@@ -42,7 +42,7 @@
     Needs = object
 
 
-class OrdersMixin(Needs):
+class PlanExecutionMixin(Needs):
     """Sends the orders of plans and takes their outcomes."""
 
     def begin(self, p: replica.Replica, goal: str, steps: list[replica.Step], asked: bool) -> None:
--- a/basaltport/placement/replica_choice.py
+++ b/basaltport/placement/replica_choice.py
@@ -38,7 +38,7 @@
     Needs = object
 
 
-class ChooseMixin(Needs):
+class ReplicaChoiceMixin(Needs):
     """Needs the state of Placement; changes none of it."""
 
     def usable(self, p: replica.Replica) -> bool:
--- a/basaltport/placement/replica_inventory.py
+++ b/basaltport/placement/replica_inventory.py
@@ -23,7 +23,7 @@
     Needs = object
 
 
-class ListingMixin(Needs):
+class ReplicaInventoryMixin(Needs):
     """Takes lists and reports, and knows what each replica holds."""
 
     now: int
--- a/basaltport/placement/state.py
+++ b/basaltport/placement/state.py
@@ -49,7 +49,7 @@
     list_at: int
     known: bool
     dirty: bool
-    buckets: dict[str, store.Bucket]
+    buckets: dict[str, store.TokenBucket]
     permits: dict[str, float]
     disks: dict[str, set[str]]
     ready_at: int
--- a/basaltport/placement/token_bucket.py
+++ b/basaltport/placement/token_bucket.py
@@ -3,7 +3,7 @@
 BURST = 2.0
 
 
-class Bucket:
+class TokenBucket:
     """`rate` in loads a second; times in ms. In any span no more than rate x span + BURST are taken."""
 
     __slots__ = ("rate", "level", "at")
--- a/tests/test_route_scenarios.py
+++ b/tests/test_route_scenarios.py
@@ -152,11 +152,11 @@
     ("survives", "power-loss", [(simdisk.SimDisk, "done", _not_written)]),
     ("resends", "replicas-refuse", [(retry_budget.Retries, "room", lambda self, now, nodes: True)]),
     ("cold", "replicas-cold", [(load_balancing.PickMixin, "cold_share", lambda self, r, row: 10**6)]),
-    ("store", "rare-models-at-once", [(store.Bucket, "fill", _endless)]),
+    ("store", "rare-models-at-once", [(store.TokenBucket, "fill", _endless)]),
     (
         "room",
         "rare-models-at-once",
-        [(choose.ChooseMixin, "make_room", _no_room_needed), (orders.OrdersMixin, "fit", _go)],
+        [(choose.ReplicaChoiceMixin, "make_room", _no_room_needed), (orders.PlanExecutionMixin, "fit", _go)],
     ),
     ("starved", "rare-models-at-once", [(machine.Placement, "wanted", _not_m20)]),
     ("back", "all-killed", [(elect.ElectMixin, "quorum", _only_founding)]),
