--- a/basaltport/main.py
+++ b/basaltport/main.py
@@ -15,7 +15,7 @@
 import basaltport.query_api.admin.command_line as query_api
 import basaltport.query_api.load_generator.cli as load_generator
 import basaltport.scale.cli as scale
-import basaltport.simulation.cli as simulation
+import basaltport.simulation.query_api.cli as simulation
 import basaltport.simulation.query_api.drills.drill as drill
 import basaltport.simulation.query_api.planner as planner
 import basaltport.simulation.query_api.play as play
