--- a/basaltport/simulation/query_api/world/world.py
+++ b/basaltport/simulation/query_api/world/world.py
@@ -27,7 +27,7 @@
         self.zone = zone
         self.addr = addr
         self.member = None
-        self.life = 0
+        self.incarnation = 0
         self.frozen = False
         self.held_back = []
         self.disk = None
@@ -147,12 +147,12 @@
             n.member = log_node.LogNode(me, seed, self.now, held, promised)
         else:
             n.member = query_node.QueryNode(me, seed, self.now)
-        n.life += 1
+        n.incarnation += 1
         n.frozen = False
         n.stopping = False
         n.held_back = []
         self.log("boot", node=name, seat=seat)
-        self.tick(name, n.life)
+        self.tick(name, n.incarnation)
 
     def kill(self, name, power=False, disk=False):
         """The process ends; with power its unsynced bytes go, with disk its whole folder."""
@@ -161,7 +161,7 @@
         if n.member is not None:
             self.cut_senders(n)
         n.member = None
-        n.life += 1
+        n.incarnation += 1
         if n.disk is None:
             return
         if disk:
@@ -196,19 +196,19 @@
             ev.now = self.now
             self.step(n, ev)
 
-    def tick(self, name, life):
+    def tick(self, name, incarnation):
         n = self.nodes[name]
-        if n.life != life or n.member is None:
+        if n.incarnation != incarnation or n.member is None:
             return
         if not n.frozen:
             self.step(n, events.Tick(self.now))
             if n.role == "rostrum" and n.member.leased() and n.member.book["mserial"] < self.acked:
                 self.log("stale-lease", node=n.name, serial=n.member.book["mserial"], acked=self.acked)
-        self.later(TICK, self.tick, name, life)
+        self.later(TICK, self.tick, name, incarnation)
 
-    def give(self, n, life, ev):
+    def give(self, n, incarnation, ev):
         """An event for a process, if it is still the same process."""
-        if n.life != life or n.member is None:
+        if n.incarnation != incarnation or n.member is None:
             return
         if n.frozen:
             n.held_back.append(ev)
@@ -285,7 +285,7 @@
         at = self.now + (self.rng.randrange(1, 4) * self.slow if to is not n else 0)
         if self.loss:
             return at
-        k = (n.name, to.name, n.life, to.life)
+        k = (n.name, to.name, n.incarnation, to.incarnation)
         at = self.last_at[k] = max(at, self.last_at.get(k, 0))
         return at
 
@@ -293,7 +293,7 @@
         if (src, to.name) in self.cuts or to.member is None:
             return
         msg = frames.unpack(raw).ok_value if self.packed else raw
-        self.give(to, to.life, events.Heard(self.now, src, msg))
+        self.give(to, to.incarnation, events.Heard(self.now, src, msg))
 
     # disk, log, operators
 
@@ -308,16 +308,16 @@
         d = n.disk
         if d.queue and not d.syncing and not d.stalled:
             d.begin()
-            self.at(d.lapse(self.now), self.synced, n, n.life, d)
+            self.at(d.lapse(self.now), self.synced, n, n.incarnation, d)
 
-    def synced(self, n, life, disk):
-        if n.life != life or n.disk is not disk:
+    def synced(self, n, incarnation, disk):
+        if n.incarnation != incarnation or n.disk is not disk:
             return
         if disk.stalled:
             disk.syncing = 0
             return
         for token, ok in disk.done():
-            self.give(n, life, events.Synced(self.now, token, ok))
+            self.give(n, incarnation, events.Synced(self.now, token, ok))
         self.sync_next(n)
 
     def stall(self, name, on):
@@ -350,7 +350,7 @@
         self.log("ask", call=call, node=name, verb=verb, **tell)
         if then:
             self.then[call] = then
-        self.give(n, n.life, events.Asked(self.now, call, verb, body))
+        self.give(n, n.incarnation, events.Asked(self.now, call, verb, body))
         return call
 
     def do_answer(self, n, e):
--- a/basaltport/simulation/routes/attempts.py
+++ b/basaltport/simulation/routes/attempts.py
@@ -12,7 +12,7 @@
     """An attempt on its way. `on` is the replica that has it; `part` the next piece of a stream."""
 
     def __init__(self, n, e, t, item, at):
-        self.n, self.life, self.e, self.t, self.item, self.at = n, n.life, e, t, item, at
+        self.n, self.incarnation, self.e, self.t, self.item, self.at = n, n.incarnation, e, t, item, at
         self.written = self.begun = self.over = False
         self.on, self.part, self.beat, self.ended = None, 0, None, 0
 
@@ -25,13 +25,13 @@
 
     def do_attempt(self, n, e):
         q = n.member.requests[e.request]
-        go = Go(n, e, self.tries[n.name, n.life, e.request], q.item, self.now)
-        self.goes[n.name, n.life, e.attempt] = go
+        go = Go(n, e, self.tries[n.name, n.incarnation, e.request], q.item, self.now)
+        self.goes[n.name, n.incarnation, e.attempt] = go
         go.t.goes.append(go)
         go.touch = n.name in self.touching
         self.later(e.left, self.late, go)
         r = self.at_place.get(e.address)
-        known = (n.name, n.life, e.address)
+        known = (n.name, n.incarnation, e.address)
         if r is None:
             self.kept.discard(known)
             self.later(self.rng.randrange(2, 8), self.lose, go, "refused to connect")
@@ -46,7 +46,7 @@
         self.later(ms, self.comes, go, r)
 
     def comes(self, go, r):
-        if go.over or go.n.life != go.life:
+        if go.over or go.n.incarnation != go.incarnation:
             return
         if (go.n.name, r.id) in self.cuts:
             self.keep(self.comes, go, r)
@@ -141,7 +141,7 @@
 
     def passed(self, go, part, last):
         """Bytes reach the proxy, and through it the client."""
-        if go.over or go.n.life != go.life:
+        if go.over or go.n.incarnation != go.incarnation:
             return
         if go.n.frozen:
             self.later(50, self.passed, go, part, last)
@@ -149,25 +149,25 @@
         go.begun = True
         if not go.t.over and go.t.op.kind in ("stream", "resume"):
             go.t.pieces = max(go.t.pieces, part)
-        self.give(go.n, go.life, proxy_events.Progress(self.now, go.e.attempt))
+        self.give(go.n, go.incarnation, proxy_events.Progress(self.now, go.e.attempt))
         if last and not go.over:
             go.over, go.ended = True, self.now
             self.client_done(go.t)
             result = outcomes.Result(Outcome.DONE, 200)
-            self.give(go.n, go.life, proxy_events.Ended(self.now, go.e.attempt, result))
+            self.give(go.n, go.incarnation, proxy_events.Ended(self.now, go.e.attempt, result))
 
     def tell(self, go, outcome, status):
         self.later(self.rng.randrange(1, 6), self.over, go, outcome, status)
 
     def over(self, go, outcome, status=0, detail="", resumes=False):
         """The attempt's end at its proxy."""
-        if go.over or go.n.life != go.life:
+        if go.over or go.n.incarnation != go.incarnation:
             return
         go.over, go.ended = True, self.now
         if go.on is not None:
             self.later(1, self.free, go, go.on)
         ev = proxy_events.Ended(self.now, go.e.attempt, outcomes.Result(outcome, status, detail, resumes))
-        self.give(go.n, go.life, ev)
+        self.give(go.n, go.incarnation, ev)
 
     def lose(self, go, why, late=False):
         """As the relay's shell tells what is proven of a connection that is lost."""
@@ -181,17 +181,17 @@
         self.over(go, Outcome.LATE if late else Outcome.BROKEN, 0, why)
 
     def late(self, go):
-        if not go.over and go.n.life == go.life:
+        if not go.over and go.n.incarnation == go.incarnation:
             self.lose(go, "the time is over", True)
 
     def do_abort(self, n, e):
-        go = self.goes.get((n.name, n.life, e.attempt))
+        go = self.goes.get((n.name, n.incarnation, e.attempt))
         if go:
             self.later(0, self.lose, go, "stopped")
 
-    def drop_goes(self, n, life):
+    def drop_goes(self, n, incarnation):
         """The process is gone and its connections with it."""
-        for k in [k for k in self.goes if k[0] == n.name and k[1] == life]:
+        for k in [k for k in self.goes if k[0] == n.name and k[1] == incarnation]:
             go = self.goes.pop(k)
             go.over, go.ended = True, self.now
             if go.on is not None:
--- a/basaltport/simulation/routes/checks.py
+++ b/basaltport/simulation/routes/checks.py
@@ -100,10 +100,10 @@
         if r["k"] == "answer" and r["verb"] == "configure" and r["status"] == 200:
             acked.append((r["t"] + about["apply_ms"], change[r["change"]]))
         if r["k"] == "edition":
-            life = r["node"], r["life"]
-            if r["edition"] < edition.get(life, 0):
+            incarnation = r["node"], r["life"]
+            if r["edition"] < edition.get(incarnation, 0):
                 out.append(find("back", r, f"{r['node']} went from {edition[life]} to {r['edition']}"))
-            edition[life] = r["edition"]
+            edition[incarnation] = r["edition"]
     for node in {r["node"] for r in trace if r["k"] == "touch"}:
         touch = flips(trace, "touch", node)
         seen = [(r["t"], r["edition"]) for r in trace if r["k"] == "edition" and r["node"] == node]
--- a/basaltport/simulation/routes/clients.py
+++ b/basaltport/simulation/routes/clients.py
@@ -26,7 +26,7 @@
     __slots__ = "id op node life request goes over pieces read".split()
 
     def __init__(self, id, op, node):
-        self.id, self.op, self.node, self.life = id, op, node, node.life
+        self.id, self.op, self.node, self.incarnation = id, op, node, node.incarnation
         self.request, self.goes, self.over = 0, [], ""
         self.pieces, self.read = op.pieces, False
 
@@ -95,7 +95,7 @@
             return
         self.request_n += 1
         t.request = self.request_n
-        self.tries[n.name, n.life, t.request] = t
+        self.tries[n.name, n.incarnation, t.request] = t
         host, path = "desk.example", f"/{o.kind}/1"
         ev = proxy_events.Arrived(self.now, t.request, host, path, identifiers.Item(o.item), int(left), 100)
         self.later(self.rng.randrange(1, 5), self.read, n, t, ev)
@@ -104,12 +104,12 @@
             self.later(min(UNREAD, left // 3), self.unread, t)
 
     def read(self, n, t, ev):
-        if n.life != t.life or n.member is None:
+        if n.incarnation != t.incarnation or n.member is None:
             self.end_try(t, "unread", 0, 0)
             return
         if not n.frozen:
             t.read = True
-        self.give(n, t.life, ev)
+        self.give(n, t.incarnation, ev)
 
     def unread(self, t):
         if not t.read and not t.over:
@@ -126,7 +126,7 @@
             running=running, touch=t.node.name in self.touching, left=int(o.until - self.now),
         )  # fmt: skip
         if outcome in ("gone", "unread"):
-            self.give(t.node, t.life, proxy_events.Left(self.now, t.request))
+            self.give(t.node, t.incarnation, proxy_events.Left(self.now, t.request))
         o.pieces = max(o.pieces, t.pieces) if o.kind == "resume" else 0
         if outcome == "done" or status in FINAL or outcome == "gone":
             self.finish_op(o, outcome if outcome != "own" else str(status))
@@ -148,7 +148,7 @@
         self.later(self.rng.randrange(1, 5), self.end_try, t, "done", 200, 0)
 
     def of(self, n, request):
-        return self.tries.get((n.name, n.life, request))
+        return self.tries.get((n.name, n.incarnation, request))
 
     def do_close(self, n, e):
         t = self.of(n, e.request)
@@ -163,5 +163,5 @@
     def cut_clients(self, n):
         """The process ended: its clients see closed connections."""
         for k, t in list(self.tries.items()):
-            if k[0] == n.name and k[1] == n.life and not t.over:
+            if k[0] == n.name and k[1] == n.incarnation and not t.over:
                 self.later(2, self.end_try, t, "cut" if t.read else "unread", 0, 0)
--- a/basaltport/simulation/routes/control_checks.py
+++ b/basaltport/simulation/routes/control_checks.py
@@ -93,10 +93,10 @@
     for r in trace:
         if r["k"] != "kept":
             continue
-        life = r["node"], r["life"]
-        if r["edition"] < newest.get(life, 0):
+        incarnation = r["node"], r["life"]
+        if r["edition"] < newest.get(incarnation, 0):
             out.append(find("keeper-back", r, f"{r['node']} went from {newest[life]} to {r['edition']}"))
-        newest[life] = r["edition"]
+        newest[incarnation] = r["edition"]
     return out
 
 
--- a/basaltport/simulation/routes/control_world.py
+++ b/basaltport/simulation/routes/control_world.py
@@ -31,11 +31,11 @@
 
     def check_controller(self, n) -> None:
         document = n.member.book["manifest"]
-        if document is None or document is self.kept_shown.get((n.name, n.life)):
+        if document is None or document is self.kept_shown.get((n.name, n.incarnation)):
             return
-        self.kept_shown[n.name, n.life] = document
+        self.kept_shown[n.name, n.incarnation] = document
         edition, change = document["edition"], document["by"]
-        self.log("kept", node=n.name, life=n.life, edition=edition, change=change)
+        self.log("kept", node=n.name, incarnation=n.incarnation, edition=edition, change=change)
 
     def look_at_holders(self) -> None:
         """Whenever it changes: who holds, with which edition in force, and what is acknowledged by then."""
@@ -69,7 +69,7 @@
         """It is gone for good, with its disk."""
         self.kill(name, power=True)
         node = self.nodes.pop(name)
-        node.member, node.life = None, node.life + 1
+        node.member, node.incarnation = None, node.incarnation + 1
         self.core.discard(name)
         self.core_upset = self.now
 
--- a/basaltport/simulation/routes/fleet_world.py
+++ b/basaltport/simulation/routes/fleet_world.py
@@ -115,7 +115,7 @@
 
     def boot(self, name, first=False):
         super().boot(name, first)
-        self.log("boot", node=name, life=self.nodes[name].life)
+        self.log("boot", node=name, incarnation=self.nodes[name].incarnation)
         self.disturb(name)
 
     def kill(self, name, power=False, disk=False):
@@ -126,9 +126,9 @@
         self.disturb(name)
         if n.disk is None:
             self.cut_clients(n)
-            life = n.life
-            n.member, n.life, n.held = None, n.life + 1, []
-            self.drop_goes(n, life)
+            incarnation = n.incarnation
+            n.member, n.incarnation, n.held = None, n.incarnation + 1, []
+            self.drop_goes(n, incarnation)
             return
         super().kill(name, power, disk)
 
@@ -161,13 +161,13 @@
         n = self.nodes[name]
         if n.member is None:
             return
-        life = n.life
+        incarnation = n.incarnation
         self.disturb(name)
         self.log("stop", node=name)
         self.step(n, routenodes.events.Stop(self.now))
 
         def done():
-            if n.life != life:
+            if n.incarnation != incarnation:
                 return
             if n.member.requests and self.now < end:
                 self.later(50, done)
@@ -232,9 +232,11 @@
         if n.name[0] != "p" or m is None:
             return
         doc = m.book["manifest"]
-        if doc is not self.shown_edition.get((n.name, n.life)):
-            self.shown_edition[n.name, n.life] = doc
-            self.log("edition", node=n.name, life=n.life, edition=doc["edition"], change=doc["by"])
+        if doc is not self.shown_edition.get((n.name, n.incarnation)):
+            self.shown_edition[n.name, n.incarnation] = doc
+            self.log(
+                "edition", node=n.name, incarnation=n.incarnation, edition=doc["edition"], change=doc["by"]
+            )
 
     # who is in touch
 
--- a/basaltport/simulation/routes/nodes.py
+++ b/basaltport/simulation/routes/nodes.py
@@ -27,7 +27,7 @@
         self.name, self.addr, self.disk = name, addr, disk
         self.member_name, self.skew = name, 0
         self.member: typing.Any = None
-        self.life, self.frozen = 0, False
+        self.incarnation, self.frozen = 0, False
         self.held: list[typing.Any] = []
         self.seat = ""
         self.founders: list[str] | None = None
@@ -52,7 +52,7 @@
         self.cuts: set[tuple[str, str]] = set()
         self.held: list[typing.Any] = []
         self.lossy = 0.0
-        self.reordering, self.doubling, self.delay_max, self.across_lives = False, 0.0, 11, False
+        self.reordering, self.doubling, self.delay_max, self.across_incarnations = False, 0.0, 11, False
         self.agreed: dict[int, typing.Any] = {}
         self.answers: dict[str, typing.Any] = {}
         self.n = 0
@@ -128,9 +128,9 @@
             n.member = role.Controller(me, seed, self.clock(n), held, promised, self.placement())
         else:
             n.member = self.proxy_of(member.Me(*args), self.rng.getrandbits(32))
-        n.life, n.frozen, n.held, n.book = n.life + 1, False, [], None
+        n.incarnation, n.frozen, n.held, n.book = n.incarnation + 1, False, [], None
         self.started(n)
-        self.tick(n, n.life)
+        self.tick(n, n.incarnation)
 
     def started(self, n: Node) -> None:
         """A process was made and has done nothing yet."""
@@ -146,7 +146,7 @@
 
     def kill(self, name: str, power: bool = False, disk: bool = False) -> None:
         n = self.nodes[name]
-        n.member, n.life = None, n.life + 1
+        n.member, n.incarnation = None, n.incarnation + 1
         if n.disk is None:
             return
         if disk:
@@ -180,15 +180,15 @@
                 ev.now = self.clock(n)
                 self.step(n, ev)
 
-    def tick(self, n: Node, life: int) -> None:
-        if n.life != life:
+    def tick(self, n: Node, incarnation: int) -> None:
+        if n.incarnation != incarnation:
             return
         if not n.frozen:
             self.step(n, events.Tick(self.clock(n)))
-        self.later(TICK, self.tick, n, life)
+        self.later(TICK, self.tick, n, incarnation)
 
-    def give(self, n: Node, life: int, ev: typing.Any) -> None:
-        if n.life != life or n.member is None:
+    def give(self, n: Node, incarnation: int, ev: typing.Any) -> None:
+        if n.incarnation != incarnation or n.member is None:
             return
         if n.frozen:
             n.held.append(ev)
@@ -273,13 +273,13 @@
             self.bytes += len(raw)
             msg = frames.unpack(raw).ok_value
         if (n.name, to.name) in self.cuts:
-            self.keep(self.arrive, n, to, to.life, msg)
+            self.keep(self.arrive, n, to, to.incarnation, msg)
             return
         if self.rng.random() < self.lossy:
             return
         twice = self.doubling and self.rng.random() < self.doubling
         for m in (msg, copy.copy(msg)) if twice else (msg,):
-            self.later(self.delay(n, to), self.arrive, n, to, to.life, m)
+            self.later(self.delay(n, to), self.arrive, n, to, to.incarnation, m)
 
     def delay(self, n: Node, to: Node) -> int:
         """Ms that a message is under way."""
@@ -290,13 +290,13 @@
         at = self.last[k] = max(self.last.get(k, 0), self.now + ms)
         return at - self.now
 
-    def arrive(self, n: Node, to: Node, life: int, msg: typing.Any) -> None:
-        if self.across_lives:
-            life = to.life
+    def arrive(self, n: Node, to: Node, incarnation: int, msg: typing.Any) -> None:
+        if self.across_incarnations:
+            incarnation = to.incarnation
         if (n.name, to.name) in self.cuts:
-            self.keep(self.arrive, n, to, life, msg)
+            self.keep(self.arrive, n, to, incarnation, msg)
             return
-        self.give(to, life, events.Heard(self.now, "", msg))
+        self.give(to, incarnation, events.Heard(self.now, "", msg))
 
     # disks, notes
 
@@ -311,16 +311,16 @@
         d = n.disk
         if d.queue and not d.syncing and not d.stalled:
             d.begin()
-            self.later(d.lapse(self.now) - self.now, self.synced, n, n.life, d)
+            self.later(d.lapse(self.now) - self.now, self.synced, n, n.incarnation, d)
 
-    def synced(self, n: Node, life: int, disk: typing.Any) -> None:
-        if n.life != life or n.disk is not disk:
+    def synced(self, n: Node, incarnation: int, disk: typing.Any) -> None:
+        if n.incarnation != incarnation or n.disk is not disk:
             return
         if disk.stalled:
             disk.syncing = 0
             return
         for token, ok in disk.done():
-            self.give(n, life, events.Synced(self.now, token, ok))
+            self.give(n, incarnation, events.Synced(self.now, token, ok))
         self.sync_next(n)
 
     def stall(self, name: str, on: bool = True) -> None:
@@ -339,7 +339,7 @@
         c = f"c{self.n}"
         self.answers[c] = None
         n = self.nodes[name]
-        self.give(n, n.life, events.Asked(self.now, c, verb, body))
+        self.give(n, n.incarnation, events.Asked(self.now, c, verb, body))
         return c
 
     def do_answer(self, n: Node, e: typing.Any) -> None:
--- a/basaltport/simulation/routes/operator.py
+++ b/basaltport/simulation/routes/operator.py
@@ -28,7 +28,7 @@
         self.answers[call] = None
         node = self.nodes[name]
         asked = events.Asked(self.now, call, verb, body)
-        self.later(self.rng.randrange(1, LINK_MS), self.give, node, node.life, asked)
+        self.later(self.rng.randrange(1, LINK_MS), self.give, node, node.incarnation, asked)
         return call
 
     def order_change(self, verb, then=None, ms=60_000, **body):
--- a/basaltport/simulation/routes/replicas.py
+++ b/basaltport/simulation/routes/replicas.py
@@ -177,16 +177,16 @@
         rows = [dict(r) for r in self.seen(self.lag)]
         ok = not self.list_down
         ev = controller_events.Listed(self.now, ok, rows if ok else [])
-        self.later(self.rng.randrange(3, 25), self.give, n, n.life, ev)
+        self.later(self.rng.randrange(3, 25), self.give, n, n.incarnation, ev)
 
     def do_order(self, n, e):
         """Not sent where another may lead by now, as in the shell."""
         n.member.now = max(n.member.now, self.now)
         if not n.member.owns(e.replica, e.fence):
-            self.told(n, n.life, e, "failed", self.now)
+            self.told(n, n.incarnation, e, "failed", self.now)
             return
-        at, life = self.now, n.life
-        self.reach(n, e.address, lambda r: self.ordered(n, life, e, r, at))
+        at, incarnation = self.now, n.incarnation
+        self.reach(n, e.address, lambda r: self.ordered(n, incarnation, e, r, at))
 
     def reach(self, n, address, f, lost=None):
         """Calls f(replica) after a link's delay; None where nobody answers (at once or by silence)."""
@@ -198,29 +198,31 @@
             return
         self.later(ms, f, r)
 
-    def ordered(self, n, life, e, r, at):
+    def ordered(self, n, incarnation, e, r, at):
         took = self.now - at
         if r == "silent" or r is not None and r.dark:
-            self.later(max(1, CALL - took), self.told, n, life, e, "unknown", at)
+            self.later(max(1, CALL - took), self.told, n, incarnation, e, "unknown", at)
             return
         if r is None or self.at_place.get(e.address) is not r:
-            self.told(n, life, e, "failed", at)
+            self.told(n, incarnation, e, "failed", at)
             return
         if r.id != e.replica:
-            self.later(2, self.told, n, life, e, "moved", at)
+            self.later(2, self.told, n, incarnation, e, "moved", at)
             return
         self.log("order", replica=r.id, holder=e.holder, fence=int(e.fence), kind=e.kind, node=n.name)
         got = r.order(e)
         if (r.id, n.name) in self.cuts or self.rng.random() < self.lost_answers:
-            self.later(CALL, self.told, n, life, e, "unknown", at)
+            self.later(CALL, self.told, n, incarnation, e, "unknown", at)
             return
-        self.later(self.rng.randrange(1, 8), self.told, n, life, e, got, at)
+        self.later(self.rng.randrange(1, 8), self.told, n, incarnation, e, got, at)
 
-    def told(self, n, life, e, got, at):
-        self.later(0, self.give, n, life, controller_events.Ordered(self.now, e.order, got, self.now - at))
+    def told(self, n, incarnation, e, got, at):
+        self.later(
+            0, self.give, n, incarnation, controller_events.Ordered(self.now, e.order, got, self.now - at)
+        )
 
     def do_report(self, n, e):
-        life = n.life
+        incarnation = n.incarnation
 
         def reached(r):
             ok = r not in (None, "silent") and not r.dark and r.id == e.replica
@@ -229,7 +231,7 @@
             body = {"models": row["models"], "busy": row["busy"], "orders": row["taken"]} if row else {}
             ms = CALL if r == "silent" or r is not None and r != "silent" and r.dark else 3
             ev = controller_events.Reported(self.now, e.replica, bool(row), body)
-            self.later(ms, self.give, n, life, ev)
+            self.later(ms, self.give, n, incarnation, ev)
 
         self.reach(n, e.address, reached)
 
