--- a/basaltport/consensus/follower.py
+++ b/basaltport/consensus/follower.py
@@ -2,9 +2,12 @@
 synced."""
 
 import basaltport.consensus.book as book
+import basaltport.consensus.log as log
+import basaltport.consensus.sizes as sizes
+import basaltport.consensus.state_machine as state_machine
+import basaltport.errors as errors
 import basaltport.identifiers as identifiers
 import basaltport.messages as messages
-import basaltport.text as text
 
 LIFE = 32
 """Of the number of an acknowledgement: the bits below those that tell the process apart."""
@@ -19,8 +22,9 @@
 
     def follower_start(self, held=None, promised=NONE):
         """Acknowledgements are numbered apart from those of an earlier life of the same member."""
-        self.book = (held or {}).get("book") or book.new()
-        self.tail = list((held or {}).get("tail") or [])
+        held = held or state_machine.ReplicatedState()
+        self.book = held.cluster_state
+        self.tail = list(held.uncommitted)
         self.stopped = False
         self.outdated = set()
         self.replayed = set()
@@ -96,7 +100,7 @@
         if m.gen > self.promised:
             self.promised = m.gen
             self.lost_lead(m.gen)
-            self.write([{"promise": list(m.gen)}])
+            self.write([log.TermRecord(m.gen)])
         self.note_leader(m)
         need = False
         if m.copy:
@@ -115,9 +119,8 @@
             return False
         g, s = self.head()
         if m.copy and g == m.gen:
-            tail = m.copy["tail"]
-            if (tail[-1]["s"] if tail else m.copy["book"]["serial"]) <= s:
-                m.copy = {}
+            if m.copy.last_index <= s:
+                m.copy = None
         return True
 
     def refuse_beat(self, m):
@@ -171,7 +174,7 @@
         if not es:
             return True
         self.tail = [e for e in self.tail if e["s"] < es[0]["s"]] + es
-        self.write([{"entry": e} for e in es])
+        self.write([log.EntryRecord(e) for e in es])
         return True
 
     def advance(self, commit, cgen):
@@ -181,7 +184,7 @@
             return
         # M6: no gap in what is in force.
         if not book.contiguous(self.tail, self.book["serial"]):
-            raise ValueError(f"the log has a gap behind {self.book['serial']}")
+            raise errors.LogGapError(self.book.log_index)
         applied = []
         while self.tail and self.tail[0]["s"] <= commit:
             e = self.tail.pop(0)
@@ -197,12 +200,12 @@
         if self.retained and e["s"] - 1 not in self.retained:
             self.clear_retained()
         self.retained[e["s"]] = e
-        self.retained_size += text.size(e)
+        self.retained_size += sizes.entry_size(e)
         limit = self.policy.retained_bytes_max
         while len(self.retained) > self.policy.retained_entries_max or (
             limit is not None and self.retained_size > limit and len(self.retained) > 1
         ):
-            self.retained_size -= text.size(self.retained.pop(next(iter(self.retained))))
+            self.retained_size -= sizes.entry_size(self.retained.pop(next(iter(self.retained))))
         for call in self.listeners.entry_retained:
             call(e)
 
--- a/basaltport/consensus/membership.py
+++ b/basaltport/consensus/membership.py
@@ -1,6 +1,7 @@
 """Who votes: new members learn first, and one change is agreed before the next; replacement is by joint
 consensus."""
 
+import basaltport.consensus.codec as codec
 import basaltport.consensus.leaving as leaving
 import basaltport.consensus.timing as timing
 import basaltport.consensus.discovery as discovery
@@ -33,8 +34,9 @@
 
     def change_one_member(self):
         """Ends a joint change; new rows of known seats; then a seat that has caught up; then one less that is
-        silent. Single steps change one seat, so that majorities before and after meet; where one member takes
-        another's place both rosters decide until that is agreed."""
+        silent. Until a change of seats is agreed both rosters decide. Majorities of rosters one seat apart
+        meet, but half of one, which elects with proof of lost disks (`attested`), may miss a majority of the
+        other."""
         # M8: one change at a time, each committed before the next; M4: by a leader that holds its lease.
         if not self.holds() or self.pending(*CHANGES):
             return
@@ -43,7 +45,7 @@
             return
         roster = self.tip_book["roster"]
         for m in [*self.heard_within(timing.LEARNER), self.me.row()]:
-            if m["seat"] in roster and roster[m["seat"]] != m:
+            if m["seat"] in roster and roster[m["seat"]] != codec.decode_member(m):
                 self.append({"op": "roster", "add": m})
                 return
         self.add_seat(roster) or self.drop_seat(roster)
@@ -71,10 +73,7 @@
         if old is None and any(self.quiet(x) > timing.RESPONSIVE for x in roster):
             return False
         self.note(16, member=row["name"], seat=s)
-        if old is None:
-            self.append({"op": "roster", "add": row})
-        else:
-            self.append({"op": "joint", "drops": [old], "adds": [row]})
+        self.append({"op": "joint", "drops": [old] if old else [], "adds": [row]})
         return True
 
     def replaced_by(self, row, roster):
@@ -104,5 +103,5 @@
             return False
         s = min(lost, key=self.drop_order)
         self.note(17, member=roster[s]["name"], seat=s)
-        self.append({"op": "roster", "drops": [s]})
+        self.append({"op": "joint", "drops": [s], "adds": []})
         return True
--- a/basaltport/consensus/open_membership.py
+++ b/basaltport/consensus/open_membership.py
@@ -1,6 +1,8 @@
 """Members of the older path: whoever says hello is a member at once; the disk members among them are kept
 apart."""
 
+import basaltport.consensus.codec as codec
+
 SILENT = 6000
 DROP = 1600
 STUCK = 2000
@@ -27,7 +29,9 @@
     def take_new(self, roster):
         names = {r["name"]: s for s, r in roster.items()}
         fresh = self.heard_within(HEARD) + [self.me.row()]
-        new = [m for m in fresh if m["seat"] not in self.left and roster.get(m["seat"]) != m]
+        new = [
+            m for m in fresh if m["seat"] not in self.left and roster.get(m["seat"]) != codec.decode_member(m)
+        ]
         swap = [[names[m["name"]], m] for m in new if m["name"] in names]
         add = [m for m in new if m["name"] not in names]
         if not swap and not add:
--- a/basaltport/main.py
+++ b/basaltport/main.py
@@ -19,6 +19,7 @@
 import basaltport.simulation.query_api.drills.drill as drill
 import basaltport.simulation.query_api.planner as planner
 import basaltport.simulation.query_api.play as play
+import basaltport.simulation.routes.play as routes_play
 
 Commands = dict[str, command.Command]
 
@@ -26,8 +27,8 @@
     ("A fleet behind routes", {**config.COMMANDS, **fleet.COMMANDS, **local_fleet.COMMANDS}),
     ("The JSON API: roles", daemon.COMMANDS),
     ("The JSON API: operators, at any node", {**query_api.COMMANDS, **planner.COMMANDS}),
-    ("The JSON API: trial fleets", {**load_generator.COMMANDS, **drill.COMMANDS}),
-    ("Checks", {**simulation.COMMANDS, **play.COMMANDS, **model.COMMANDS}),
+    ("The JSON API: trial fleets", {**simulation.COMMANDS, **load_generator.COMMANDS, **drill.COMMANDS}),
+    ("Checks", {**routes_play.COMMANDS, **play.COMMANDS, **model.COMMANDS}),
     ("Scale runs", scale.COMMANDS),
 ]
 NAME_WIDTH = 21
--- a/basaltport/proxy/header_names.py
+++ b/basaltport/proxy/header_names.py
@@ -2,10 +2,13 @@
 
 import dataclasses
 
+TOP = 10**8
+DIGITS = 11
+
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Words:
-    """`resume` and `prefix` as in docs/relay.md; `not_run` on an answer promises that nothing ran."""
+    """`resume` and `prefix` as in docs/design/proxy.md; `not_run` on an answer promises that nothing ran."""
 
     request_id: str = "Basaltport-Request"
     deadline: str = "Basaltport-Deadline-Ms"
@@ -19,3 +22,10 @@
     priority: str = "Basaltport-Priority"
     replica: str = "Basaltport-Replica"
     ready_path: str = "/ready"
+
+
+def number(raw: str | None, top: int = TOP) -> int:
+    """A whole number of a header, or -1."""
+    if not raw or not raw.isascii() or not raw.isdigit() or len(raw) > DIGITS:
+        return -1
+    return min(int(raw), top)
--- a/basaltport/proxy/server.py
+++ b/basaltport/proxy/server.py
@@ -22,12 +22,14 @@
 import basaltport.proxy.response as response
 import basaltport.proxy.client_connections as client_connections
 import basaltport.proxy.response_delivery as response_delivery
+import basaltport.proxy.admission as admission
 import basaltport.proxy.events as events
 import basaltport.proxy.request_body as request_body
 import basaltport.proxy.memory_limit as memory_limit
 import basaltport.proxy.attempt_outcome as attempt_outcome
 import basaltport.proxy.node as node
 import basaltport.proxy.upstream as upstream
+import basaltport.proxy.head_timeout as head_timeout
 import basaltport.proxy.header_names as header_names
 import basaltport.wires as wires
 
@@ -41,9 +43,7 @@
 LINGER_S = 2.0
 BACKLOG = 1024
 PROBE_BACKLOG = 128
-TOP = 10**8
 TOP_TOKENS = 10**7
-DIGITS = 11
 OK = 200
 BAD_REQUEST = 400
 UNREADY = 503
@@ -53,18 +53,11 @@
 Reload = collections.abc.Callable[[], collections.abc.Sequence[str] | None]
 
 
-def number(raw: str | None, top: int = TOP) -> int:
-    """A whole number of a header, or -1."""
-    if not raw or not raw.isascii() or not raw.isdigit() or len(raw) > DIGITS:
-        return -1
-    return min(int(raw), top)
-
-
 class ProxyServer:
     """A proxy as a process: what its reducer decides is done on sockets."""
 
     end: asyncio.Event
-    server: aiohttp.web.Server
+    server: head_timeout.HeadTimeoutServer
     probe: aiohttp.web.Server
     listener: asyncio.Server
     prober: asyncio.Server
@@ -117,7 +110,7 @@
     async def listen(self) -> None:
         """Takes clients, and the platform's probes."""
         loop = asyncio.get_running_loop()
-        self.server = aiohttp.web.Server(
+        self.server = head_timeout.HeadTimeoutServer(
             self.serve,
             request_factory=self.request,
             handler_cancellation=True,
@@ -129,6 +122,7 @@
             lingering_time=LINGER_S,
             read_bufsize=upstream.READ_BUFFER,
         )
+        self.server.limit_heads(lambda: self.member.table.limits.get("header_wait_ms", 0))
         self.probe = aiohttp.web.Server(self.readiness, access_log=None)
         host, port = self.settings["listen"].rsplit(":", 1)
         self.listener = await loop.create_server(self.server, host, int(port), backlog=BACKLOG)
@@ -248,8 +242,9 @@
         answer_claim: memory_limit.Claim,
     ) -> aiohttp.web.StreamResponse:
         """The same, with the claims that it may use."""
-        deadline = number(request.headers.get(self.words.deadline))
-        until = identifiers.steady() + (deadline if deadline >= 0 else request_body.LONGEST_MS)
+        deadline = header_names.number(request.headers.get(self.words.deadline))
+        began = identifiers.steady()
+        until = began + (deadline if deadline >= 0 else request_body.LONGEST_MS)
         limit = self.member.table.limits.get("body_bytes") or BODY_BYTES
         try:
             body = await request_body.read(request, limit, deadline, body_claim)
@@ -263,7 +258,7 @@
         sink = response.Sink(request, body, self.words, lambda: self.stopping, answer_claim)
         self.sinks[request_id] = sink
         try:
-            self.step(self.arrived(request_id, request, deadline))
+            self.step(self.arrived(request_id, request, began))
             return await response_delivery.deliver(request, await sink.done, until - identifiers.steady())
         except asyncio.CancelledError:
             self.step(events.Left(identifiers.steady(), request_id))
@@ -271,19 +266,20 @@
         finally:
             self.sinks.pop(request_id, None)
 
-    def arrived(self, request_id: int, request: aiohttp.web.BaseRequest, deadline: int) -> events.Arrived:
-        """What the reducer is told of a request."""
-        names, heads = self.words, request.headers
+    def arrived(self, request_id: int, request: aiohttp.web.BaseRequest, began: float) -> events.Arrived:
+        """What the reducer is told of a request. `began`: when its head was there, in ms."""
+        names, heads, now = self.words, request.headers, identifiers.steady()
         tokens = heads.get(names.tokens, "").partition(",")[0]
         return events.Arrived(
-            identifiers.steady(),
+            now,
             request_id,
             heads.get("Host", ""),
             request.raw_path.partition("?")[0],
             identifiers.Item(heads.get(names.model, "")),
-            deadline,
-            number(tokens, TOP_TOKENS),
+            header_names.number(heads.get(names.deadline)),
+            header_names.number(tokens, TOP_TOKENS),
             heads.get(names.prefix, "").rpartition(",")[0],
+            int(now - began),
         )
 
     def unread(
@@ -297,7 +293,7 @@
         sink = response.Sink(
             request, b"", self.words, lambda: self.stopping, memory_limit.Claim(self.answers)
         )
-        sink.close(reason.value, "no room for the body", node.COME_BACK)
+        sink.close(reason.value, "no room for the body", admission.RETRY_AFTER_MS)
         return sink.done.result()
 
     # effects
--- a/basaltport/simulation/query_api/cli.py
+++ b/basaltport/simulation/query_api/cli.py
@@ -10,7 +10,6 @@
 
 import basaltport.simulation.query_api.drills.fleet as fleet
 import basaltport.simulation.query_api.world.presets as presets
-import basaltport.simulation.routes.play as routeplay
 import basaltport.simulation.query_api.world.stage as stage
 import basaltport.simulation.query_api.standins.standin as standin
 import basaltport.command_line.command as command
@@ -64,5 +63,4 @@
         "Run a whole fleet with stand-ins on this machine.", run_fleet, define_fleet
     ),
     "query-fleet stand-ins": command.Command("Run the stand-ins alone.", run_standins, define_standins),
-    **routeplay.COMMANDS,
 }
--- a/basaltport/simulation/query_api/world/world.py
+++ b/basaltport/simulation/query_api/world/world.py
@@ -1,61 +1,45 @@
 """The simulator: the daemons' own reducers on virtual time, wires and disks. One seed, one run."""
 
-import heapq
 import random
 
 import basaltport.events as events
 import basaltport.query_api.events as query_events
-import basaltport.handlers as handlers
 import basaltport.frames as frames
 import basaltport.identifiers as identifiers
 import basaltport.query_api.log_node as log_node
 import basaltport.member as member
 import basaltport.simulation.query_api.standins.backend as backend
 import basaltport.simulation.query_api.world.senders as senders
+import basaltport.simulation.processes as processes
 import basaltport.simulation.virtual_disk as virtual_disk
 import basaltport.query_api.query_node as query_node
 
 TICK = 25
 
 
-class Node:
+class Node(processes.Process):
     """One process: up, frozen or gone."""
 
     def __init__(self, name, role, zone, addr):
-        self.name = name
+        super().__init__(name, addr)
         self.role = role
         self.zone = zone
-        self.addr = addr
-        self.member = None
-        self.incarnation = 0
-        self.frozen = False
-        self.held_back = []
-        self.disk = None
-        self.seat = ""
         self.stopping = False
         self.reason = ""
 
 
-class World(backend.BackendMixin, senders.SenderMixin):
+class World(backend.BackendMixin, senders.SenderMixin, processes.Processes[Node]):
     """`packed` sends every message as a frame's bytes; without it, the same messages go unpacked, faster."""
 
     def __init__(self, seed, preset, loss=0.0, packed=False):
+        super().__init__(seed)
         self.packed = packed
-        self.rng = random.Random(seed)
-        self.now = identifiers.Millis(1_000_000)
         self.start = self.now
-        self.heap = []
-        self.order = 0
         self.preset = preset
         self.loss = loss
         self.twice = 0.0
         self.slow = 1
-        self.nodes = {}
-        self.by_addr = {}
-        self.cuts = set()
         self.hold = None
-        self.held = []
-        self.last_at = {}
         self.trace = []
         self.calls = {}
         self.verbs = {}
@@ -69,21 +53,6 @@
 
     # time
 
-    def at(self, t, f, *a):
-        self.order += 1
-        heapq.heappush(self.heap, (t, self.order, f, a))
-
-    def later(self, ms, f, *a):
-        self.at(self.now + ms, f, *a)
-
-    def run(self, ms):
-        end = self.now + ms
-        while self.heap and self.heap[0][0] <= end:
-            t, _, f, a = heapq.heappop(self.heap)
-            self.now = identifiers.Millis(t)
-            f(*a)
-        self.now = identifiers.Millis(end)
-
     def run_until(self, test, ms):
         """True as soon as the test holds, False if it does not in time."""
         end = self.now + ms
@@ -150,7 +119,7 @@
         n.incarnation += 1
         n.frozen = False
         n.stopping = False
-        n.held_back = []
+        n.held = []
         self.log("boot", node=name, seat=seat)
         self.tick(name, n.incarnation)
 
@@ -176,7 +145,7 @@
         self.log("stop", node=name)
         n.stopping = True
         end = self.now + 10_000
-        self.run_until(lambda: not getattr(n.member, "queries", None) or self.now >= end, 10_500)
+        self.run_until(lambda: not getattr(n.member, "requests", None) or self.now >= end, 10_500)
         self.step(n, events.Stop(self.now))
         self.run(100)
         self.kill(name)
@@ -191,10 +160,8 @@
             return
         self.log("wake", node=name)
         n.frozen = False
-        back, n.held_back = n.held_back, []
-        for ev in back:
-            ev.now = self.now
-            self.step(n, ev)
+        held, n.held = n.held, []
+        self.deliver_late(n, held)
 
     def tick(self, name, incarnation):
         n = self.nodes[name]
@@ -206,16 +173,6 @@
                 self.log("stale-lease", node=n.name, serial=n.member.book["mserial"], acked=self.acked)
         self.later(TICK, self.tick, name, incarnation)
 
-    def give(self, n, incarnation, ev):
-        """An event for a process, if it is still the same process."""
-        if n.incarnation != incarnation or n.member is None:
-            return
-        if n.frozen:
-            n.held_back.append(ev)
-            return
-        ev.now = self.now
-        self.step(n, ev)
-
     def step(self, n, ev):
         if (
             isinstance(ev, query_events.AttemptEnded)
@@ -223,8 +180,7 @@
             and ev.detail != "abandoned"
         ):
             self.log("fate", node=n.name, query=ev.attempt_id.rsplit(".", 1)[0], outcome=ev.outcome)
-        for e in n.member.step(ev):
-            handlers.require(self, "do_", type(e))(n, e)
+        self.carry_out(n, n.member.step(ev))
 
     def leader(self):
         for n in self.nodes.values():
@@ -240,9 +196,7 @@
     def cut(self, a, b, both=True):
         """Nothing goes from a to b any more; with both, nor back."""
         self.log("cut", a=a, b=b, both=both)
-        self.cuts.add((a, b))
-        if both:
-            self.cuts.add((b, a))
+        super().cut(a, b, both)
 
     def split(self, left):
         right = [n for n in self.nodes if n not in left]
@@ -260,10 +214,7 @@
         """What wires held through the cut comes now, in its order, as far as they hold that long."""
         self.log("heal")
         self.cuts = set()
-        held, self.held = self.held, []
-        for at, f, a in held:
-            if self.now - at <= (self.hold or 0):
-                self.later(1, f, *a)
+        self.release_held((self.hold or 0) + 1)
 
     def do_send(self, n, e):
         to = self.by_addr.get(e.addr)
@@ -285,9 +236,7 @@
         at = self.now + (self.rng.randrange(1, 4) * self.slow if to is not n else 0)
         if self.loss:
             return at
-        k = (n.name, to.name, n.incarnation, to.incarnation)
-        at = self.last_at[k] = max(at, self.last_at.get(k, 0))
-        return at
+        return self.in_order((n.name, to.name, n.incarnation, to.incarnation), at)
 
     def arrive(self, src, to, raw):
         if (src, to.name) in self.cuts or to.member is None:
@@ -297,35 +246,9 @@
 
     # disk, log, operators
 
-    def do_write(self, n, e):
-        whole = None
-        if e.whole is not None:
-            whole = {"promised": list(n.member.promised), **e.whole, "tail": list(e.whole["tail"])}
-        n.disk.write(e.token, e.records, whole)
-        self.sync_next(n)
-
-    def sync_next(self, n):
-        d = n.disk
-        if d.queue and not d.syncing and not d.stalled:
-            d.begin()
-            self.at(d.lapse(self.now), self.synced, n, n.incarnation, d)
-
-    def synced(self, n, incarnation, disk):
-        if n.incarnation != incarnation or n.disk is not disk:
-            return
-        if disk.stalled:
-            disk.syncing = 0
-            return
-        for token, ok in disk.done():
-            self.give(n, incarnation, events.Synced(self.now, token, ok))
-        self.sync_next(n)
-
     def stall(self, name, on):
-        d = self.nodes[name].disk
         self.log("stall", node=name, on=on)
-        d.stalled = on
-        if not on:
-            self.sync_next(self.nodes[name])
+        super().stall(name, on)
 
     def fill(self, name, on):
         self.log("full", node=name, on=on)
