--- a/tests/test_control_trials.py
+++ b/tests/test_control_trials.py
@@ -130,8 +130,8 @@
         founders=[],
     )
     n.member = node.Controller(me, w.rng.getrandbits(32), w.now, held, promised, w.placement())
-    n.life += 1
-    w.tick(n, n.life)
+    n.incarnation += 1
+    w.tick(n, n.incarnation)
 
 
 def left_and_right(seed, cut_after):
