--- a/basaltport/consensus/membership.py
+++ b/basaltport/consensus/membership.py
@@ -1,6 +1,7 @@
 """Who votes: new members learn first, and one change is agreed before the next; replacement is by joint
 consensus."""
 
+import basaltport.consensus.codec as codec
 import basaltport.consensus.leaving as leaving
 import basaltport.consensus.timing as timing
 import basaltport.consensus.discovery as discovery
@@ -44,7 +45,7 @@
             return
         roster = self.tip_book["roster"]
         for m in [*self.heard_within(timing.LEARNER), self.me.row()]:
-            if m["seat"] in roster and roster[m["seat"]] != m:
+            if m["seat"] in roster and roster[m["seat"]] != codec.decode_member(m):
                 self.append({"op": "roster", "add": m})
                 return
         self.add_seat(roster) or self.drop_seat(roster)
--- a/basaltport/controller/node.py
+++ b/basaltport/controller/node.py
@@ -4,6 +4,7 @@
 import typing
 
 import basaltport.consensus.node as node
+import basaltport.consensus.sizes as sizes
 import basaltport.consensus.voting_policy as voting_policy
 import basaltport.controller.operator_requests as operator_requests
 import basaltport.controller.order_execution as order_execution
@@ -13,7 +14,6 @@
 import basaltport.identifiers as identifiers
 import basaltport.member as member
 import basaltport.placement.machine as machine
-import basaltport.text as text
 
 SNAPSHOT_ENTRIES = 200
 """A snapshot is written after so many entries,"""
@@ -85,7 +85,7 @@
 
     def count_entry(self, entry: typing.Any) -> None:
         """Count what would be read again after a restart."""
-        self.bytes_since_snapshot += text.size(entry)
+        self.bytes_since_snapshot += sizes.entry_size(entry)
 
     def keep_snapshot(self) -> None:
         """Now and then the log begins anew behind a snapshot."""
--- a/basaltport/model/electorate.py
+++ b/basaltport/model/electorate.py
@@ -5,21 +5,22 @@
 further; in a joint change it needs both rosters. `docs/control-safety.md` has the argument."""
 
 import collections.abc
-import typing
 
-import basaltport.consensus.book as book
+import basaltport.consensus.log as log
 import basaltport.consensus.quorum as quorum
+import basaltport.consensus.state_machine as state_machine
 
-Book = quorum.Book
 Seats = quorum.Seats
 
 
-def rosters(agreed: Book, tail: collections.abc.Iterable[dict[str, typing.Any]]) -> list[list[Seats]]:
+def rosters(
+    agreed: state_machine.ClusterState, tail: collections.abc.Iterable[log.LogEntry]
+) -> list[list[Seats]]:
     """For the agreed book and each change behind it: the sets of voters that must each give a majority."""
     at = agreed
     found = [quorum.voter_sets(at)]
     for entry in tail:
-        at = book.apply(at, entry)
+        at = state_machine.apply(at, entry)
         if (of := quorum.voter_sets(at)) != found[-1]:
             found.append(of)
     return found
--- a/basaltport/simulation/routes/nodes.py
+++ b/basaltport/simulation/routes/nodes.py
@@ -50,8 +50,8 @@
 
     Links keep their order and lose what is under way when the receiver restarts, as one connection does.
     `reordering` gives each message a delay of its own; `doubling` is the chance that it comes twice;
-    `delay_max` the longest delay in ms; `across_lives` delivers to whoever lives at the address when it
-    arrives; `lossy` is the share of messages that are lost; with `holding` a cut holds back what would
+    `delay_max` the longest delay in ms; `across_incarnations` delivers to whoever lives at the address when
+    it arrives; `lossy` is the share of messages that are lost; with `holding` a cut holds back what would
     arrive. `packed` sends each message as a frame's bytes."""
 
     def __init__(self, seed: int, controllers: int = 3, boot: bool = True, packed: bool = False) -> None:
--- a/tests/test_model_electorate.py
+++ b/tests/test_model_electorate.py
@@ -5,7 +5,10 @@
 
 import pytest
 
+import basaltport.consensus.log as log
+import basaltport.consensus.state_machine as state_machine
 import basaltport.fleet.publish as publish
+import basaltport.identifiers as identifiers
 import basaltport.model.electorate as electorate
 import basaltport.model.finding as finding
 import basaltport.model.random_search as random_search
@@ -14,6 +17,7 @@
 import tests.model_mutations as mutations
 
 SEATS = "abcdefg"
+TERM = identifiers.Term(1, "")
 LEAVER_ANSWERED = [
     '{"seed": 20066, "members": 5, "bearable": false, "actions": [[60, "split", 0, 200, 1], '
     '[20, "changes", 2, 1500, 0], [1500, "proxy", 2, 1500, 1], [1500, "replace-cut", 3, 700, 0], '
@@ -29,12 +33,21 @@
 
 
 def book_of(seats, former=None):
-    b = {"serial": 1, "gen": [1, ""], "roster": dict.fromkeys(seats, {}), "ledgers": [], "voters": "ledgers"}
-    return b if former is None else {**b, "former": dict.fromkeys(former, {})}
+    return state_machine.ClusterState(
+        log_index=identifiers.LogIndex(1),
+        term=TERM,
+        members=members_of(seats),
+        voting=state_machine.VOTING_DISK_MEMBERS,
+        former_members=None if former is None else members_of(former),
+    )
 
 
-def entry(serial, **op):
-    return {"s": serial, "g": [1, ""], "op": op}
+def members_of(seats):
+    return {seat: log.MemberRecord(seat, seat, "ledger", "z", seat) for seat in seats}
+
+
+def entry(serial, operation):
+    return log.LogEntry(identifiers.LogIndex(serial), TERM, operation)
 
 
 def subsets(seats):
@@ -65,12 +78,12 @@
     agreed, word = book_of("bcd"), set("abe")
     assert electorate.elects(word, [set("abcde")])
     assert not electorate.bears(word, electorate.rosters(agreed, []))
-    unended = [entry(2, op="roster", drops=["a"]), entry(3, op="roster", drops=["b"])]
+    unended = [entry(2, log.MembersChanged(removed=("a",))), entry(3, log.MembersChanged(removed=("b",)))]
     assert not electorate.bears(word, electorate.rosters(book_of("abcde"), unended))
 
 
 def test_as_one_leaves_its_word_counts_by_the_agreed_roster_only():
-    leaves = [entry(2, op="roster", drops=["c"]), entry(3, op="slices", give={})]
+    leaves = [entry(2, log.MembersChanged(removed=("c",))), entry(3, log.ShardsAssigned())]
     candidates = electorate.rosters(book_of("abcde"), leaves)
     assert candidates == [[set("abcde")], [set("abde")]]
     assert electorate.bears(set("abc"), candidates)
@@ -81,7 +94,7 @@
 
 
 def test_as_one_leaves_by_a_joint_change_its_word_counts_by_the_agreed_roster_only():
-    leaves = [entry(2, op="joint", drops=["c"], adds=[]), entry(3, op="slices", give={})]
+    leaves = [entry(2, log.JointChangeBegun(("c",), ())), entry(3, log.ShardsAssigned())]
     candidates = electorate.rosters(book_of("abcde"), leaves)
     assert candidates == [[set("abcde")], [set("abde"), set("abcde")]]
     assert electorate.bears(set("abc"), candidates)
@@ -90,7 +103,9 @@
 
 
 def test_as_one_joins_its_word_counts_only_beside_a_majority_of_the_agreed():
-    candidates = electorate.rosters(book_of("abc"), [entry(2, op="roster", add={"seat": "d"})])
+    candidates = electorate.rosters(
+        book_of("abc"), [entry(2, log.MembersChanged(added=members_of("d")["d"]))]
+    )
     assert electorate.bears(set("abd"), candidates)
     assert electorate.bears(set("ab"), candidates)
     assert not electorate.bears(set("ad"), candidates)
@@ -98,7 +113,9 @@
 
 def test_half_of_an_agreed_even_roster_is_not_enough_beside_one_that_joins():
     """The other half could go on with proof that the disk of one of these is lost."""
-    candidates = electorate.rosters(book_of("abcd"), [entry(2, op="roster", add={"seat": "e"})])
+    candidates = electorate.rosters(
+        book_of("abcd"), [entry(2, log.MembersChanged(added=members_of("e")["e"]))]
+    )
     assert electorate.excluded(set("abe"), candidates[0])
     assert not electorate.bears(set("abe"), candidates)
     assert electorate.bears(set("abc"), candidates)
@@ -109,7 +126,7 @@
     assert electorate.bears(set("ab"), joint)
     assert not electorate.bears(set("af"), joint)
     assert not electorate.bears(set("ac"), joint)
-    ending = electorate.rosters(book_of("abf", former="abc"), [entry(2, op="final")])
+    ending = electorate.rosters(book_of("abf", former="abc"), [entry(2, log.JointChangeCompleted())])
     assert electorate.bears(set("af"), ending)
     assert not electorate.bears(set("ac"), ending)
 
