--- a/basaltport/configuration/check.py
+++ b/basaltport/configuration/check.py
@@ -22,8 +22,8 @@
 HASH = trafaret.Regexp(re.compile(r"^sha256:[0-9a-f]{64}$"))
 
 
-def _plain(v: object) -> object:
-    return v if type(v) is int else trafaret.DataError("value is not a whole number")
+def _plain(value: object) -> object:
+    return value if type(value) is int else trafaret.DataError("value is not a whole number")
 
 
 def whole(gte: int, lte: int | None = None) -> trafaret.Trafaret:
@@ -44,13 +44,12 @@
 _SENDERS = trafaret.Mapping(NAME, HASH)
 
 
-def _senders(v: object) -> object:
+def _senders(value: object) -> object:
     """A line may have very many: what is plainly right is not looked at one by one by the library."""
-    if type(v) is dict:
-        ok = all(type(h) is str and _HASH(h) and _NAME(k) for k, h in v.items())
-        if ok:
-            return v
-    return _SENDERS.check(v)
+    if type(value) is dict:
+        if all(type(token) is str and _HASH(token) and _NAME(name) for name, token in value.items()):
+            return value
+    return _SENDERS.check(value)
 
 
 LINE = trafaret.Dict(
@@ -122,41 +121,41 @@
 )
 
 
-def _flat(err: object, place: str = "") -> Findings:
-    if not isinstance(err, dict):
-        return [{"place": place, "finding": str(err)}]
-    if set(err) <= {"key", "value"}:
-        return [f for v in err.values() for f in _flat(v, place)]
-    out = []
-    for k, v in err.items():
-        out += _flat(v, f"{place}.{k}" if place else str(k))
-    return out
+def _flat(error: object, place: str = "") -> Findings:
+    if not isinstance(error, dict):
+        return [{"place": place, "finding": str(error)}]
+    if set(error) <= {"key", "value"}:
+        return [finding for nested in error.values() for finding in _flat(nested, place)]
+    found = []
+    for name, nested in error.items():
+        found += _flat(nested, f"{place}.{name}" if place else str(name))
+    return found
 
 
-def shape(form: trafaret.Trafaret, doc: object) -> result.Result[typing.Any, Findings]:
+def shape(form: trafaret.Trafaret, document: object) -> result.Result[typing.Any, Findings]:
     """The document with defaults filled in, or what is wrong with its form."""
     try:
-        return result.Ok(form.check(doc))
-    except trafaret.DataError as e:
-        return result.Err(_flat(e.as_dict()))
+        return result.Ok(form.check(document))
+    except trafaret.DataError as error:
+        return result.Err(_flat(error.as_dict()))
 
 
-def platform(doc: object) -> result.Result[Document, Findings]:
+def platform(document: object) -> result.Result[Document, Findings]:
     """The platform's list of replicas, or what is wrong with its form."""
-    return shape(PLATFORM, doc)
+    return shape(PLATFORM, document)
 
 
-def manifest(doc: object, old: object = None) -> result.Result[Document, Findings]:
+def manifest(document: object, old: object = None) -> result.Result[Document, Findings]:
     """The whole manifest's findings: those of form, and of reference wherever the form allows.
     What stands unchanged in `old`, a manifest without findings, is not looked at again."""
-    fs = _form(doc, old) if isinstance(old, dict) and isinstance(doc, dict) else None
-    if fs is None:
-        fs = findings(MANIFEST, doc)
-    if not isinstance(doc, dict):
-        return result.Err(fs)
+    found = _form(document, old) if isinstance(old, dict) and isinstance(document, dict) else None
+    if found is None:
+        found = findings(MANIFEST, document)
+    if not isinstance(document, dict):
+        return result.Err(found)
     was = old if isinstance(old, dict) else {}
-    fs = fs + _references(doc, _sound(doc, was, not fs), was)
-    return result.Err(fs) if fs else result.Ok(doc)
+    found = found + _references(document, _sound(document, was, not found), was)
+    return result.Err(found) if found else result.Ok(document)
 
 
 def _same(new: object, old: object) -> bool:
@@ -168,21 +167,27 @@
     return name in was and _same(new, was[name])
 
 
-def findings(form: trafaret.Trafaret, doc: object) -> Findings:
+def findings(form: trafaret.Trafaret, document: object) -> Findings:
     """What is wrong with the form of a document."""
-    got = shape(form, doc)
+    got = shape(form, document)
     return got.err_value if isinstance(got, result.Err) else []
 
 
-def _form(doc: Document, old: Document) -> Findings | None:
+def _form(document: Document, old: Document) -> Findings | None:
     """Findings of form, entry by entry where the old one has an equal; None where that is no way."""
-    if set(doc) != set(old) or not all(isinstance(doc[k], dict) for k in SECTIONS if k in doc):
+    if set(document) != set(old) or not all(
+        isinstance(document[name], dict) for name in SECTIONS if name in document
+    ):
         return None
-    new = {}
-    for k in doc:
-        was = old[k] if k in SECTIONS else None
-        new[k] = doc[k] if was is None else {n: v for n, v in doc[k].items() if not _unchanged(n, v, was)}
-    return findings(MANIFEST, new)
+    changed = {}
+    for name, section in document.items():
+        before = old[name] if name in SECTIONS else None
+        changed[name] = section if before is None else _changed(section, before)
+    return findings(MANIFEST, changed)
+
+
+def _changed(section: Document, before: Document) -> Document:
+    return {name: entry for name, entry in section.items() if not _unchanged(name, entry, before)}
 
 
 class _Sound(typing.NamedTuple):
@@ -196,87 +201,100 @@
     named: items.Index | None
 
 
-def _sound(doc: Document, old: Document, every: bool) -> _Sound:
-    lines = _sound_entries(LINE, doc.get("lines"), old.get("lines") or {}, every)
-    models = _sound_entries(MODEL, doc.get("models"), old.get("models") or {}, every)
-    whole = len(models) == len(_section(doc, "models") or ())
+def _sound(document: Document, old: Document, every: bool) -> _Sound:
+    lines = _sound_entries(LINE, document.get("lines"), old.get("lines") or {}, every)
+    models = _sound_entries(MODEL, document.get("models"), old.get("models") or {}, every)
+    whole = len(models) == len(_section(document, "models") or ())
     index = items.Index(items.items_of({"models": models})) if whole else None
     return _Sound(
-        lines, models, _section(doc, "pools"), _section(doc, "groups"), _section(doc, "zones"), index
+        lines,
+        models,
+        _section(document, "pools"),
+        _section(document, "groups"),
+        _section(document, "zones"),
+        index,
     )
 
 
 def _sound_entries(form: trafaret.Trafaret, entries: object, was: Document, every: bool) -> Document:
     if not isinstance(entries, dict):
         return {}
-    return {n: v for n, v in entries.items() if every or _unchanged(n, v, was) or shape(form, v).is_ok()}
+    return {
+        name: entry
+        for name, entry in entries.items()
+        if every or _unchanged(name, entry, was) or shape(form, entry).is_ok()
+    }
 
 
-def _section(doc: Document, name: str) -> Document | None:
-    section = doc.get(name)
+def _section(document: Document, name: str) -> Document | None:
+    section = document.get(name)
     return section if isinstance(section, dict) else None
 
 
-def _references(doc: Document, m: _Sound, old: Document) -> Findings:
-    fs: Findings = []
+def _references(document: Document, sound: _Sound, old: Document) -> Findings:
+    found: Findings = []
 
     def find(place: str, text: str) -> None:
-        fs.append({"place": place, "finding": text})
+        found.append({"place": place, "finding": text})
 
-    if m.zones == {}:
+    if sound.zones == {}:
         find("zones", "at least one zone is needed")
-    was = {}
-    if old and all(_same(doc.get(k), old.get(k)) for k in ("models", "pools", "groups")):
-        was = old["lines"]
-    for k, v in m.lines.items():
-        if not _unchanged(k, v, was):
-            _line_references(m, k, v, find)
-    if not was:
-        for k, v in m.models.items():
-            _model_references(m, k, v, find)
-    return fs
-
-
-def _line_references(m: _Sound, k: str, v: Document, find: Find) -> None:
-    if m.pools is not None and v["pool"] not in m.pools:
-        find(f"lines.{k}.pool", f"no pool {v['pool']!r}")
-    if m.named is not None:
-        _item_references(m.named, k, v, find)
-    _tokens(k, v["senders"], find)
-    if v["timeout_ms"] > LONGEST_TIMEOUT_MS:
-        find(f"lines.{k}.timeout_ms", "over ten minutes")
-
-
-def _item_references(index: items.Index, k: str, v: Document, find: Find) -> None:
-    for n, p in enumerate(v["items"]):
-        if not index.match(p):
-            find(f"lines.{k}.items.{n}", f"{p!r} names no model or adapter")
-    for n, p in enumerate(v.get("prewarm", [])):
-        if p not in index.all:
-            find(f"lines.{k}.prewarm.{n}", f"{p!r} names no model or adapter")
-
-
-def _tokens(k: str, senders: dict[str, str], find: Find) -> None:
+    before = {}
+    if old and all(_same(document.get(name), old.get(name)) for name in ("models", "pools", "groups")):
+        before = old["lines"]
+    for name, line in sound.lines.items():
+        if not _unchanged(name, line, before):
+            _line_references(sound, name, line, find)
+    if not before:
+        for name, model in sound.models.items():
+            _model_references(sound, name, model, find)
+    return found
+
+
+def _line_references(sound: _Sound, name: str, line: Document, find: Find) -> None:
+    if sound.pools is not None and line["pool"] not in sound.pools:
+        find(f"lines.{name}.pool", f"no pool {line['pool']!r}")
+    if sound.named is not None:
+        _item_references(sound.named, name, line, find)
+    _tokens(name, line["senders"], find)
+    if line["timeout_ms"] > LONGEST_TIMEOUT_MS:
+        find(f"lines.{name}.timeout_ms", "over ten minutes")
+
+
+def _item_references(index: items.Index, name: str, line: Document, find: Find) -> None:
+    for position, pattern in enumerate(line["items"]):
+        if not index.match(pattern):
+            find(f"lines.{name}.items.{position}", f"{pattern!r} names no model or adapter")
+    for position, item in enumerate(line.get("prewarm", [])):
+        if item not in index.all:
+            find(f"lines.{name}.prewarm.{position}", f"{item!r} names no model or adapter")
+
+
+def _tokens(line_name: str, senders: dict[str, str], find: Find) -> None:
     """No two clients may have one token."""
     if len(set(senders.values())) == len(senders):
         return
-    tokens: dict[str, str] = {}
-    for s, h in senders.items():
-        if tokens.setdefault(h, s) != s:
-            find(f"lines.{k}.senders.{s}", f"same token as sender {tokens[h]!r}")
+    clients: dict[str, str] = {}
+    for client, token in senders.items():
+        first = clients.setdefault(token, client)
+        if first != client:
+            find(f"lines.{line_name}.senders.{client}", f"same token as sender {first!r}")
 
 
-def _model_references(m: _Sound, k: str, v: Document, find: Find) -> None:
-    if m.groups is None:
+def _model_references(sound: _Sound, name: str, model: Document, find: Find) -> None:
+    if sound.groups is None:
         return
-    g = m.groups.get(v["group"])
-    if g is None:
-        find(f"models.{k}.group", f"no group {v['group']!r}")
+    group_name = model["group"]
+    group = sound.groups.get(group_name)
+    if group is None:
+        find(f"models.{name}.group", f"no group {group_name!r}")
         return
-    if not shape(GROUP, g).is_ok():
+    if not shape(GROUP, group).is_ok():
         return
-    if v["size"] > g["room"]:
-        find(f"models.{k}.size", f"size {v['size']} is over the room {g['room']} of group {v['group']!r}")
-    for a, w in (v.get("adapters") or {}).items():
-        if v["size"] + w["size"] > g["room"]:
-            find(f"models.{k}.adapters.{a}.size", f"with its model it is over the room {g['room']}")
+    size, room = model["size"], group["room"]
+    if size > room:
+        find(f"models.{name}.size", f"size {size} is over the room {room} of group {group_name!r}")
+    for adapter_name, adapter in (model.get("adapters") or {}).items():
+        if size + adapter["size"] > room:
+            place = f"models.{name}.adapters.{adapter_name}.size"
+            find(place, f"with its model it is over the room {room}")
--- a/basaltport/configuration/items.py
+++ b/basaltport/configuration/items.py
@@ -5,16 +5,19 @@
 import typing
 
 
-def items_of(m: dict[str, typing.Any]) -> collections.abc.Iterator[str]:
-    """All models and adapters of a manifest."""
-    for k, v in m["models"].items():
-        yield k
-        for a in v.get("adapters") or {}:
-            yield f"{k}/{a}"
+def items_of(configuration: dict[str, typing.Any]) -> collections.abc.Iterator[str]:
+    """All models and adapters of a configuration."""
+    for name, model in configuration["models"].items():
+        yield name
+        for adapter in model.get("adapters") or {}:
+            yield f"{name}/{adapter}"
+
+
+LAST_CHARACTER = chr(0x10FFFF)
 
 
 class Index:
-    """All items of a manifest in order, so that a pattern is answered without a look at each."""
+    """All items of a configuration in order, so that a pattern is answered without a look at each."""
 
     __slots__ = ("all", "sorted")
 
@@ -28,6 +31,6 @@
         if not pattern.endswith("*"):
             return [pattern] if pattern in self.all else []
         head = pattern[:-1]
-        lo = bisect.bisect_left(self.sorted, head)
-        hi = bisect.bisect_left(self.sorted, head + chr(0x10FFFF)) if head else len(self.sorted)
-        return self.sorted[lo:hi]
+        first = bisect.bisect_left(self.sorted, head)
+        end = bisect.bisect_left(self.sorted, head + LAST_CHARACTER) if head else len(self.sorted)
+        return self.sorted[first:end]
--- a/basaltport/configuration/patch.py
+++ b/basaltport/configuration/patch.py
@@ -1,4 +1,4 @@
-"""RFC 7396 merge patches, and their inverse: the patch that leads from one manifest to another."""
+"""RFC 7396 merge patches, and their inverse: the patch that leads from one configuration to another."""
 
 import typing
 
@@ -10,23 +10,23 @@
     """The target with a merge patch applied; nothing is changed in place."""
     if not isinstance(patch, dict):
         return patch
-    out = dict(target) if isinstance(target, dict) else {}
-    for k, v in patch.items():
-        if v is None:
-            out.pop(k, None)
+    merged = dict(target) if isinstance(target, dict) else {}
+    for name, value in patch.items():
+        if value is None:
+            merged.pop(name, None)
             continue
-        out[k] = merge(out.get(k), v)
-    return out
+        merged[name] = merge(merged.get(name), value)
+    return merged
 
 
 def diff(old: object, new: object) -> Json:
     """The patch that leads from one document to another."""
     if not isinstance(old, dict) or not isinstance(new, dict):
         return new
-    out: Document = {k: None for k in old if k not in new}
-    for k, v in new.items():
-        if k not in old:
-            out[k] = v
-        elif old[k] != v:
-            out[k] = diff(old[k], v)
-    return out
+    patch: Document = {name: None for name in old if name not in new}
+    for name, value in new.items():
+        if name not in old:
+            patch[name] = value
+        elif old[name] != value:
+            patch[name] = diff(old[name], value)
+    return patch
--- a/basaltport/configuration/rules.py
+++ b/basaltport/configuration/rules.py
@@ -62,74 +62,103 @@
     keep_bound: int = KEEP_BOUND
 
 
-def compile(m: Document | None, serial: int, old: Document | None = None, was: Rules | None = None) -> Rules:
+def compile(
+    configuration: Document | None, serial: int, old: Document | None = None, was: Rules | None = None
+) -> Rules:
     """Rules of a manifest; lines that stand as in the manifest `old`, whose rules `was` are, keep theirs."""
-    if m is None:
+    if configuration is None:
         return Rules(serial, {}, {}, {}, {}, [], 0)
     same: dict[str, LineRule] = {}
-    if old is not None and was is not None and (old["models"] is m["models"] or old["models"] == m["models"]):
-        same = {k: was.lines[k] for k, v in m["lines"].items() if old["lines"].get(k) is v}
-    index = None if same and len(same) == len(m["lines"]) else items.Index(items.items_of(m))
+    if (
+        old is not None
+        and was is not None
+        and (old["models"] is configuration["models"] or old["models"] == configuration["models"])
+    ):
+        same = {
+            name: was.lines[name]
+            for name, line in configuration["lines"].items()
+            if old["lines"].get(name) is line
+        }
+    index = (
+        None
+        if same and len(same) == len(configuration["lines"])
+        else items.Index(items.items_of(configuration))
+    )
     if was is not None and same:
         rules = was.items
     else:
-        rules = {i.item: i for k, v in m["models"].items() for i in _items(k, v)}
+        rules = {
+            rule.item: rule for name, model in configuration["models"].items() for rule in _items(name, model)
+        }
     return Rules(
         serial,
-        {k: same.get(k) or _line(k, v, index) for k, v in m["lines"].items()},
+        {name: same.get(name) or _line(name, line, index) for name, line in configuration["lines"].items()},
         rules,
-        m["pools"],
-        m["groups"],
-        sorted(m["zones"]),
-        m["store"]["loads"],
-        _longest(m),
-        m.get("keys", {}).get("keep_ms", KEEP_MS),
-        m.get("keys", {}).get("bound", KEEP_BOUND),
+        configuration["pools"],
+        configuration["groups"],
+        sorted(configuration["zones"]),
+        configuration["store"]["loads"],
+        _longest(configuration),
+        configuration.get("keys", {}).get("keep_ms", KEEP_MS),
+        configuration.get("keys", {}).get("bound", KEEP_BOUND),
     )
 
 
-def _longest(m: Document) -> int:
+def _longest(configuration: Document) -> int:
     """The longest declared load; 0 where some model declares none."""
-    ms = [v.get("expected_load_ms", 0) for v in m["models"].values()]
-    return max(ms, default=0) if all(ms) else 0
-
-
-def _items(k: str, v: Document) -> collections.abc.Iterator[ItemRule]:
-    c, w = v.get("copies", 1), v.get("idle_window_ms", 0)
-    rt, ex = v.get("ready_timeout_ms", 0), v.get("expected_load_ms", 0)
-    full = v["size"] + sum(d["size"] for d in (v.get("adapters") or {}).values())
-    yield ItemRule(identifiers.Item(k), v["size"], full, v["group"], v.get("kept", False), c, w, rt, ex)
-    for a, d in (v.get("adapters") or {}).items():
-        yield ItemRule(
-            identifiers.Item(f"{k}/{a}"), d["size"], d["size"], v["group"], d.get("kept", False), c, w, rt, ex
-        )
+    loads_ms = [model.get("expected_load_ms", 0) for model in configuration["models"].values()]
+    return max(loads_ms, default=0) if all(loads_ms) else 0
+
+
+def _items(name: str, model: Document) -> collections.abc.Iterator[ItemRule]:
+    """The rules of a model and of its adapters."""
+    adapters = model.get("adapters") or {}
+    full = model["size"] + sum(adapter["size"] for adapter in adapters.values())
+    yield _item(name, model, model, full)
+    for adapter_name, adapter in adapters.items():
+        yield _item(f"{name}/{adapter_name}", model, adapter, adapter["size"])
+
+
+def _item(name: str, model: Document, entry: Document, full: int) -> ItemRule:
+    """The rule of a model, or of an adapter of it; `entry`: its own part of the configuration."""
+    return ItemRule(
+        identifiers.Item(name),
+        entry["size"],
+        full,
+        model["group"],
+        entry.get("kept", False),
+        model.get("copies", 1),
+        model.get("idle_window_ms", 0),
+        model.get("ready_timeout_ms", 0),
+        model.get("expected_load_ms", 0),
+    )
 
 
-def _line(k: str, v: Document, index: items.Index | None) -> LineRule:
+def _line(name: str, line: Document, index: items.Index | None) -> LineRule:
     assert index is not None
-    named = frozenset(i for p in v["items"] for i in index.match(p))
+    named = frozenset(item for pattern in line["items"] for item in index.match(pattern))
     program: list[tuple[str, typing.Any]] = [
-        ("sender", {h: s for s, h in v["senders"].items()}),
+        ("sender", {token: client for client, token in line["senders"].items()}),
         ("item", named),
-        ("deadline", v["patience_ms"]),
+        ("deadline", line["patience_ms"]),
         ("claim", None),
-        ("bound", v["bound"]),
-        ("credit", v["pool"]),
-        ("prewarm", v.get("prewarm", [])),
+        ("bound", line["bound"]),
+        ("credit", line["pool"]),
+        ("prewarm", line.get("prewarm", [])),
         ("readiness", None),
         ("wait", None),
     ]
     return LineRule(
-        k,
+        name,
         program,
-        v["urgency"],
-        v["patience_ms"],
-        v["bound"],
-        v["once_only"],
-        v["pool"],
-        v["timeout_ms"],
-        v.get("ready_timeout_ms", 0),
-        v.get("prewarm", []),
-        frozenset(v["senders"]),
+        line["urgency"],
+        line["patience_ms"],
+        line["bound"],
+        line["once_only"],
+        line["pool"],
+        line["timeout_ms"],
+        line.get("ready_timeout_ms", 0),
+        line.get("prewarm", []),
+        frozenset(line["senders"]),
         named,
     )
