--- a/basaltport/controller/server.py
+++ b/basaltport/controller/server.py
@@ -60,8 +60,8 @@
 
 
 class ControllerServer(shell.Shell):
-    """A controller as a process. `settings`: as in docs/platform.md. Raises OSError where the data folder
-    can't be used."""
+    """A controller as a process. `settings`: as in docs/design/platform.md. Raises OSError where the data
+    folder can't be used."""
 
     def __init__(self, settings: Settings, port: Port) -> None:
         """Read the data folder; `run` does all else."""
@@ -189,7 +189,7 @@
     # operators
 
     async def ask(self, verb: str, body: Document) -> Answer:
-        """The answer (status and document) to an operator's request; see docs/platform.md."""
+        """The answer (status and document) to an operator's request; see docs/design/platform.md."""
         if self.stopping:
             return STOPPING
         self.last_call += 1
