--- a/basaltport/log_events.py
+++ b/basaltport/log_events.py
@@ -1,4 +1,4 @@
-"""The events of the log: each has a number, a name and a meaning, which docs/events.md lists too."""
+"""The events of the log: each has a number, a name and a meaning, which docs/operate/events.md lists too."""
 
 import enum
 
@@ -54,35 +54,33 @@
 
 
 MEANINGS: dict[Event, str] = {
-    Event.STARTED: "A process is up: its name, seat, role, zone and addresses.",
+    Event.STARTED: "A process is up: its name, member id (`seat`), role, zone and addresses.",
     Event.STOPPING: "A process was asked to stop: it takes no more and finishes what runs.",
     Event.SETTINGS_REFUSED: "The settings file has findings; nothing was started.",
-    Event.LEADER_HEARD: "This member follows a leader of a new generation.",
-    Event.CAMPAIGN: "A ledger heard no leader and asks all seats for their promise.",
-    Event.FOUNDING: "Enough of the expected seats are here and none holds anything: the house is founded.",
-    Event.LEADING: "This ledger leads from now on.",
-    Event.LEDGERS_LOST: "Most ledgers are gone: a new generation goes on with those that live.",
-    Event.STEPPED_DOWN: "This ledger leads no more; the reason is given.",
-    Event.SEAT_ADDED: "A member was given a seat in the roster.",
-    Event.SEAT_DROPPED: "A seat was silent too long and left the roster.",
+    Event.LEADER_HEARD: "This member follows a leader of a new term.",
+    Event.CAMPAIGN: "A member heard no leader and asks all others for their vote.",
+    Event.FOUNDING: "Enough expected members are here and none holds anything: the cluster is founded.",
+    Event.LEADING: "This member leads from now on.",
+    Event.LEDGERS_LOST: "Most members with a disk are gone: a new term goes on with those that live.",
+    Event.STEPPED_DOWN: "This member leads no more; the reason is given.",
+    Event.SEAT_ADDED: "A member votes from now on.",
+    Event.SEAT_DROPPED: "A member was silent too long and votes no more.",
     Event.DUTIES_HANDED: "Duties were given to owners under a new fence.",
-    Event.SEATS_MISSING: "No leader for five seconds: these members' promises are missing.",
+    Event.SEATS_MISSING: "No leader for five seconds: these members' votes are missing.",
     Event.DISK_OPENED: "The data folder was read; what was held is given.",
     Event.DISK_REFUSED: "The data folder cannot be used: the reason is given. Nothing was changed in it.",
-    Event.SEAT_UNKNOWN: (
-        "The data folder cannot prove the seat that voted here: this is a new seat without a vote."
-    ),
+    Event.SEAT_UNKNOWN: ("The data folder cannot prove who voted here: this is a new member without a vote."),
     Event.DISK_FAILED: "A write to the data folder failed.",
-    Event.OVERRIDE: "An operator gave members up for lost: the house may go on without them.",
-    Event.MEMBER_MET: "A member became known, or came back with a new seat.",
+    Event.OVERRIDE: "An operator gave members up for lost: the cluster may go on without them.",
+    Event.MEMBER_MET: "A member became known, or came back under a new id.",
     Event.STRANGER: "A frame came from another house; it was ignored.",
     Event.NAME_TWICE: "Another process uses this member's name; it was ignored.",
-    Event.FRAME_REFUSED: "A garbled, oversize or wrong-version frame came; its wire was closed.",
-    Event.OLD_GENERATION: "A leader of a generation that was given up still beats; it is told to step down.",
-    Event.FRAME_REPLAYED: "A beat long past came again; it lengthens no lease and changes nothing.",
+    Event.FRAME_REFUSED: "A garbled, oversize or wrong-version frame came; its connection was closed.",
+    Event.OLD_GENERATION: "A leader of an earlier term still sends heartbeats; it is notified to step down.",
+    Event.FRAME_REPLAYED: "A heartbeat long past came again; it lengthens no lease and changes nothing.",
     Event.CHANGE_REFUSED: "A change was refused; it is never in force.",
     Event.CHANGE_ACKNOWLEDGED: "A change is agreed, kept and in force at every leased node.",
-    Event.MANIFEST_IN_FORCE: "This node now works by the manifest of the serial given.",
+    Event.MANIFEST_IN_FORCE: "This node now works by the configuration of the log index given.",
     Event.LOAD_WAITED: "A shared wait for a cold model began.",
     Event.LOAD_DONE: "A shared wait ended: the model is loaded; the measured wait is given.",
     Event.TIMEOUT_CLASSIFIED: "A dispatch timed out; the controller's word names the phase.",
@@ -93,7 +91,7 @@
     Event.ORDER: "A steward orders a replica to load or unload.",
     Event.ORDER_FAILED: "An order was refused or its outcome is unknown.",
     Event.STORE_DUTY_TAKEN: "This node grants the weight store's permits.",
-    Event.KEYS_WHOLE: "This node is whole as a keeper of a range of senders' keys.",
-    Event.PORT_CALL_FAILED: "A call of this keeper to its platform broke; the reason is given.",
+    Event.KEYS_WHOLE: "This node holds its range of clients' keys completely.",
+    Event.PORT_CALL_FAILED: "A call of this controller to its platform broke; the reason is given.",
     Event.STEP_FAILED: "A step of this process broke; the reason is given. It goes on.",
 }
--- a/basaltport/query_api/cell/cell.py
+++ b/basaltport/query_api/cell/cell.py
@@ -4,6 +4,7 @@
 import dataclasses
 import typing
 
+import basaltport.consensus.state_machine as state_machine
 import basaltport.configuration.rules as rules
 import basaltport.identifiers as identifiers
 import basaltport.member as member
@@ -53,7 +54,7 @@
 
     me: member.Me
     now: identifiers.Millis
-    book: dict[str, typing.Any]
+    book: state_machine.ClusterState
     rules: rules.Rules
     leaving_hints: collections.abc.Container[str]
     evacuation_hints: collections.abc.Container[str]
--- a/basaltport/query_api/failure_detection/ring.py
+++ b/basaltport/query_api/failure_detection/ring.py
@@ -3,6 +3,7 @@
 import collections.abc
 import typing
 
+import basaltport.consensus.state_machine as state_machine
 import basaltport.hash_ring as hash_ring
 import basaltport.identifiers as identifiers
 import basaltport.member as member
@@ -30,7 +31,7 @@
 
     me: member.Me
     now: identifiers.Millis
-    book: dict[str, typing.Any]
+    book: state_machine.ClusterState
     leader: typing.Any
 
     def addr_of(self, seat: str) -> str | None:
--- a/basaltport/simulation/query_api/cli.py
+++ b/basaltport/simulation/query_api/cli.py
@@ -8,11 +8,11 @@
 
 import absl.flags as flags
 
+import basaltport.command_line.command as command
 import basaltport.simulation.query_api.drills.fleet as fleet
 import basaltport.simulation.query_api.world.presets as presets
 import basaltport.simulation.query_api.world.stage as stage
 import basaltport.simulation.query_api.standins.standin as standin
-import basaltport.command_line.command as verbs
 
 
 def define_standins(flag_values: flags.FlagValues) -> None:
@@ -52,7 +52,7 @@
         signal.signal(number, lambda *_: stop.append(1))
     running.start()
     print(f"nodes: {','.join(running.nodes)}", flush=True)
-    configuration = f"{stage.EXAMPLES}/{running.size.configuration}"
+    configuration = f"{stage.EXAMPLES}/{running.preset.configuration}"
     print(
         f"stand-ins: {running.admin}; manifest: {configuration}; all in {running.folder}",
         flush=True,
@@ -66,7 +66,9 @@
     return 0
 
 
-VERBS = {
-    "fleet": verbs.Verb("Run a whole fleet with stand-ins on this machine.", run_fleet, define_fleet),
-    "standins": verbs.Verb("Run the stand-ins alone.", run_standins, define_standins),
+COMMANDS = {
+    "query-fleet run": command.Command(
+        "Run a whole fleet with stand-ins on this machine.", run_fleet, define_fleet
+    ),
+    "query-fleet stand-ins": command.Command("Run the stand-ins alone.", run_standins, define_standins),
 }
--- a/basaltport/simulation/query_api/drills/drill.py
+++ b/basaltport/simulation/query_api/drills/drill.py
@@ -11,6 +11,7 @@
 import absl.flags as flags
 import aiohttp
 
+import basaltport.command_line.command as command
 import basaltport.query_api.load_generator.cli as paddle
 import basaltport.query_api.load_generator.plan as plan
 import basaltport.query_api.load_generator.shoot as shoot
@@ -18,7 +19,6 @@
 import basaltport.simulation.query_api.drills.fleet as fleet
 import basaltport.simulation.query_api.world.presets as presets
 import basaltport.simulation.query_api.world.stage as stage
-import basaltport.command_line.command as verbs
 
 OK = 200
 GOOD_SHARE = 0.95
@@ -165,7 +165,7 @@
 
     async def large_manifest(self) -> None:
         """Tens of MB put in force, then a storm of patches on it."""
-        configuration = stage.swell(stage.example(self.fleet.size.configuration), 2000, 120, 1500)
+        configuration = stage.swell(stage.example(self.fleet.preset.configuration), 2000, 120, 1500)
         for what, verb, body in [("whole", "apply", {"manifest": configuration})] + [
             (f"patch {i}", "patch", {"patch": {"lines": {f"extra-{i}": {"bound": 90 + i}}}})
             for i in range(20)
@@ -219,9 +219,9 @@
 
     async def run(self, name: str, seconds: float, seed: int) -> Document:
         """Configures the fleet, loads it, and lets the named fault happen meanwhile."""
-        configuration = stage.example(self.fleet.size.configuration)
+        configuration = stage.example(self.fleet.preset.configuration)
         demand = plan.demand(
-            stage.example(self.fleet.size.configuration.replace(".json", "-demand.json"))
+            stage.example(self.fleet.preset.configuration.replace(".json", "-demand.json"))
         ).unwrap()
         await self.must("apply", {"manifest": configuration})
         await self.live("rostrum-1")
@@ -304,4 +304,8 @@
     return 1 if report["findings"] else 0
 
 
-VERBS = {"drill": verbs.Verb("A real fleet under load with one fault, checked.", run, define, "NAME")}
+COMMANDS = {
+    "query-fleet drill": command.Command(
+        "A real fleet under load with one fault, checked.", run, define, "NAME"
+    )
+}
--- a/basaltport/simulation/query_api/drills/fleet.py
+++ b/basaltport/simulation/query_api/drills/fleet.py
@@ -68,7 +68,7 @@
 
     def __init__(self, preset: str, folder: str, seed: int = 1) -> None:
         """Keep everything in `folder`."""
-        self.size = presets.PRESETS[preset]
+        self.preset = presets.PRESETS[preset]
         self.folder = os.path.abspath(folder)
         self.seed = seed
         self.procs: dict[str, subprocess.Popen[bytes]] = {}
@@ -81,7 +81,7 @@
 
     def plan(self) -> None:
         """Choose ports and write settings."""
-        size = self.size
+        size = self.preset
         counts = ((world_base.LOG_NODE, size.log_nodes), (world_base.QUERY_NODE, size.query_nodes))
         members = [(role, i) for role, count in counts for i in range(count)]
         replicas = sum(figures["replicas"] for figures in size.groups.values())
@@ -106,14 +106,14 @@
     def write_settings(self, place: Place, seeds: list[str], members: int) -> None:
         """Write the settings of one member."""
         settings: dict[str, typing.Any] = {
-            "house": self.size.house,
+            "house": self.preset.house,
             "name": place.name,
-            "zone": f"z{place.number % self.size.zones + 1}",
+            "zone": f"z{place.number % self.preset.zones + 1}",
             "addr": place.addr,
             "http": place.http,
             "seeds": seeds,
             "expected_seats": members,
-            "expected_ledgers": self.size.log_nodes,
+            "expected_ledgers": self.preset.log_nodes,
             "log": self.path(f"{place.name}.log"),
         }
         if place.role == world_base.LOG_NODE:
@@ -123,7 +123,7 @@
 
     def write_standins(self, free_ports: typing.Iterator[int]) -> None:
         """Write the file of the stand-ins."""
-        size, replicas = self.size, {}
+        size, replicas = self.preset, {}
         for group, figures in size.groups.items():
             for i in range(figures["replicas"]):
                 url, zone = f"http://{IP}:{next(free_ports)}", f"z{i % size.zones + 1}"
@@ -156,7 +156,7 @@
     def start(self) -> None:
         """Plan and start all processes."""
         self.plan()
-        self.spawn("standins", "standins", f"--conf={self.path('standins.json')}")
+        self.spawn("standins", "query-fleet", "stand-ins", f"--conf={self.path('standins.json')}")
         for name in self.settings:
             self.start_member(name)
         self.note_ids()
--- a/basaltport/simulation/query_api/planner.py
+++ b/basaltport/simulation/query_api/planner.py
@@ -1,5 +1,4 @@
-"""`basaltport plan`: what a configuration would place, and why not, by the nodes' own code on virtual
-time."""
+"""`basaltport manifest plan`: what a configuration would place, and why not, by the nodes' own code."""
 
 import dataclasses
 import json
@@ -9,7 +8,9 @@
 import absl.flags as flags
 import result
 
-import basaltport.admin.cli as admin_cli
+import basaltport.command_line.command as command
+import basaltport.command_line.documents as documents
+import basaltport.command_line.output as output
 import basaltport.configuration.check as check
 import basaltport.identifiers as identifiers
 import basaltport.query_api.events as query_events
@@ -17,7 +18,6 @@
 import basaltport.simulation.query_api.world.world as worlds
 import basaltport.simulation.query_api.world.world_base as world_base
 import basaltport.simulation.trace as trace
-import basaltport.command_line.command as verbs
 
 QUIET_MS = 3000
 STEP_MS = 100
@@ -164,16 +164,16 @@
 
 def run(flag_values: flags.FlagValues, args: list[str]) -> int:
     """The command: 0 where all is placed, 1 where something is not, 2 where it was called in a wrong way."""
-    if admin_cli.need(args, 1, "a manifest file"):
+    if output.lacks_arguments(args, 1, "a manifest file"):
         return USAGE
-    documents = []
+    read: list[typing.Any] = []
     for path in (args[0], flag_values.platform or ""):
-        document, unreadable = admin_cli.read_doc(path)
-        if unreadable:
-            print(unreadable, file=sys.stderr)
+        document = documents.read_document(path)
+        if isinstance(document, result.Err):
+            print(document.err_value, file=sys.stderr)
             return USAGE
-        documents.append(document)
-    configuration, platform = documents
+        read.append(document.ok_value)
+    configuration, platform = read
     found = problems(configuration, platform)
     for problem in found:
         print(f"{problem['place']}: {problem['finding']}", file=sys.stderr)
@@ -194,15 +194,17 @@
         for key, how in (("kept", "kept"), ("asked", "on demand"))
         for item, on in placed[key].items()
     ]
-    admin_cli.table(lines, ["item", "how", "on"])
+    output.table(lines, ["item", "how", "on"])
     replicas = [{"replica": name, **row} for name, row in sorted(placed["replicas"].items())]
-    admin_cli.table(replicas, ["replica", "zone", "room", "used"])
+    output.table(replicas, ["replica", "zone", "room", "used"])
     for item, gone in placed["evicted"].items():
         print(f"{item} takes the room of {', '.join(gone)}")
     for item, why in placed["not_placed"].items():
         print(f"NOT PLACED {item}: {why}")
 
 
-VERBS = {
-    "plan": verbs.Verb("Show offline what a manifest would place, and why not.", run, define, "MANIFEST")
+COMMANDS = {
+    "manifest plan": command.Command(
+        "Show offline what a manifest would place, and why not.", run, define, "MANIFEST"
+    )
 }
--- a/basaltport/simulation/query_api/play.py
+++ b/basaltport/simulation/query_api/play.py
@@ -1,4 +1,4 @@
-"""`rehearse` plays scenarios by seed; `replay` plays a recorded one again and shows where a rule broke."""
+"""`simulate queries` plays scenarios by seed; `simulate replay` plays a recorded one again."""
 
 import collections
 import dataclasses
@@ -8,7 +8,8 @@
 
 import absl.flags as flags
 
-import basaltport.admin.cli as admin_cli
+import basaltport.command_line.command as command
+import basaltport.command_line.output as output
 import basaltport.simulation.finding as finding
 import basaltport.simulation.query_api.scenarios.mayhem as mayhem
 import basaltport.simulation.query_api.scenarios.scenarios as scenarios
@@ -16,7 +17,6 @@
 import basaltport.simulation.query_api.world.rows as rows
 import basaltport.simulation.query_api.world.world as worlds
 import basaltport.simulation.query_api.plays as plays
-import basaltport.command_line.command as verbs
 
 FORMAT = 1
 USAGE = 2
@@ -128,7 +128,7 @@
     if play.name == "mayhem" and flag_values.shrink:
         for fault in mayhem.shrink(play.seed, play.preset, {found.rule for found in findings}):
             print(f"  needs {tuple(fault)}")
-    print(f"  again: basaltport rehearse {play.name} --seed={play.seed} --preset={play.preset}")
+    print(f"  again: basaltport simulate queries {play.name} --seed={play.seed} --preset={play.preset}")
 
 
 class Recorded(typing.NamedTuple):
@@ -161,7 +161,7 @@
 
 def run_replay(flag_values: flags.FlagValues, args: list[str]) -> int:
     """The command: plays a recorded run again."""
-    if admin_cli.need(args, 1, "a trace file"):
+    if output.lacks_arguments(args, 1, "a trace file"):
         return USAGE
     recorded = load(args[0])
     if isinstance(recorded, str):
@@ -193,12 +193,14 @@
     print("the same run" if same else f"{len(recorded)} rows recorded, {len(now)} now")
 
 
-VERBS = {
-    "rehearse": verbs.Verb(
+COMMANDS = {
+    "simulate queries": command.Command(
         "Play a scenario of faults on virtual time and check every rule.",
         run_rehearse,
         define_rehearse,
         "SCENARIO ...|all",
     ),
-    "replay": verbs.Verb("Play a recorded trace again; show where a rule broke.", run_replay, None, "FILE"),
+    "simulate replay": command.Command(
+        "Play a recorded trace again; show where a rule broke.", run_replay, None, "FILE"
+    ),
 }
--- a/tests/live.py
+++ b/tests/live.py
@@ -45,7 +45,7 @@
     async def __aenter__(self):
         Watched.stepped = asyncio.Event()
         f = fleet.Fleet("thin", self.folder)
-        f.size = dataclasses.replace(presets.PRESETS["thin"], query_nodes=2, load_ms_per_size=5)
+        f.preset = dataclasses.replace(presets.PRESETS["thin"], query_nodes=2, load_ms_per_size=5)
         f.plan()
         with open(f.path("standins.json")) as x:
             self.standins = standin.Standins(json.load(x))
