--- a/basaltport/cold_start/decision.py
+++ b/basaltport/cold_start/decision.py
@@ -133,7 +133,7 @@
 
     asked_at: int = LONG_AGO
     next_ask_at: int = 0
-    told_demand: int = 0
+    reported_demand: int = 0
     """The demand that the controller was told of when it was asked."""
 
 
@@ -142,7 +142,7 @@
     within the least spacing, where the policy lets a grown demand ask."""
     if now >= schedule.next_ask_at:
         return True
-    if policy.demand_factor is None or demand < policy.demand_factor * schedule.told_demand:
+    if policy.demand_factor is None or demand < policy.demand_factor * schedule.reported_demand:
         return False
     return now - schedule.asked_at >= limits.POLL_SPACING_FLOOR_MS
 
--- a/basaltport/configuration/check.py
+++ b/basaltport/configuration/check.py
@@ -234,20 +234,20 @@
 def _references(document: Document, sound: _Sound, old: Document) -> Findings:
     found: Findings = []
 
-    def find(place: str, text: str) -> None:
+    def _find(place: str, text: str) -> None:
         found.append({"place": place, "finding": text})
 
     if sound.zones == {}:
-        find("zones", "at least one zone is needed")
+        _find("zones", "at least one zone is needed")
     before = {}
     if old and all(_same(document.get(name), old.get(name)) for name in ("models", "pools", "groups")):
         before = old["lines"]
     for name, line in sound.lines.items():
         if not _unchanged(name, line, before):
-            _line_references(sound, name, line, find)
+            _line_references(sound, name, line, _find)
     if not before:
         for name, model in sound.models.items():
-            _model_references(sound, name, model, find)
+            _model_references(sound, name, model, _find)
     return found
 
 
--- a/basaltport/configuration/routes.py
+++ b/basaltport/configuration/routes.py
@@ -20,7 +20,7 @@
 Findings = list[Finding]
 Test = collections.abc.Callable[[object], bool]
 Names = collections.abc.Container[str]
-T = typing.TypeVar("T")
+Kind = typing.TypeVar("Kind")
 
 
 def _text(value: object) -> typing.TypeGuard[str]:
@@ -82,11 +82,11 @@
 }
 
 
-def _told(test: Test, or_null: bool) -> trafaret.Trafaret:
-    def look(value: object) -> object:
+def _field_check(test: Test, or_null: bool) -> trafaret.Trafaret:
+    def _look(value: object) -> object:
         return value if test(value) or (or_null and value is None) else trafaret.DataError(SAYS[test])
 
-    return trafaret.Call(look)
+    return trafaret.Call(_look)
 
 
 class Form:
@@ -99,9 +99,9 @@
         self.tests = {**optional, **needed}
         self.needed = needed.keys()
         self.nullable = frozenset(nullable)
-        keys = {trafaret.Key(field): _told(test, False) for field, test in needed.items()}
+        keys = {trafaret.Key(field): _field_check(test, False) for field, test in needed.items()}
         for field, test in optional.items():
-            keys[trafaret.Key(field, optional=True)] = _told(test, field in nullable)
+            keys[trafaret.Key(field, optional=True)] = _field_check(test, field in nullable)
         self.form = trafaret.Dict(keys, allow_extra=["*"])
 
     def passes(self, document: object) -> bool:
@@ -172,7 +172,7 @@
     return {"place": place, "finding": finding}
 
 
-def _get(document: Document, key: str, kind: type[T]) -> T:
+def _get(document: Document, key: str, kind: type[Kind]) -> Kind:
     value = document.get(key)
     return value if type(value) is kind else kind()
 
--- a/basaltport/local_fleet/runner.py
+++ b/basaltport/local_fleet/runner.py
@@ -11,7 +11,7 @@
 import basaltport.local_fleet.messages as messages
 import basaltport.simulation.query_api.drills.fleet as fleet
 
-HOUSE = "local"
+CLUSTER = "local"
 ZONES = ("z1", "z2", "z3")
 CONTROLLERS = 3
 FORMER_ADDRESSES = {"KEEPER": "CONTROLLER"}
@@ -37,13 +37,13 @@
 
     def plan(self) -> None:
         """Choose ports and write each process's settings."""
-        free = (f"{fleet.IP}:{number}" for number in fleet.ports(2 * CONTROLLERS + 4 + REPLICAS))
-        self.listing = next(free)
-        self._plan_stand_ins(free)
-        seeds = [next(free) for _ in range(CONTROLLERS)]
+        free_addresses = (f"{fleet.IP}:{number}" for number in fleet.ports(2 * CONTROLLERS + 4 + REPLICAS))
+        self.listing = next(free_addresses)
+        self._plan_stand_ins(free_addresses)
+        seeds = [next(free_addresses) for _ in range(CONTROLLERS)]
         for index, address in enumerate(seeds):
-            self._plan_controller(index, address, next(free), seeds)
-        self._plan_proxy(free, seeds)
+            self._plan_controller(index, address, next(free_addresses), seeds)
+        self._plan_proxy(free_addresses, seeds)
         self._write_addresses()
 
     def start(self) -> None:
@@ -71,9 +71,9 @@
         except (urllib.error.URLError, OSError):
             return False
 
-    def _plan_stand_ins(self, free: collections.abc.Iterator[str]) -> None:
+    def _plan_stand_ins(self, free_addresses: collections.abc.Iterator[str]) -> None:
         replicas = tuple(
-            messages.ReplicaAddress(f"replica-{index + 1}", ZONES[index % len(ZONES)], next(free))
+            messages.ReplicaAddress(f"replica-{index + 1}", ZONES[index % len(ZONES)], next(free_addresses))
             for index in range(REPLICAS)
         )
         settings = messages.StandInSettings(self.listing, replicas)
@@ -87,14 +87,14 @@
         settings["listing"] = {"address": self.listing}
         self._plan_process(name, "controller", settings)
 
-    def _plan_proxy(self, free: collections.abc.Iterator[str], seeds: list[str]) -> None:
-        settings = self._member("proxy-1", ZONES[0], next(free), seeds)
-        self.proxy, self.ready = next(free), next(free)
+    def _plan_proxy(self, free_addresses: collections.abc.Iterator[str], seeds: list[str]) -> None:
+        settings = self._member("proxy-1", ZONES[0], next(free_addresses), seeds)
+        self.proxy, self.ready = next(free_addresses), next(free_addresses)
         settings |= {"listen": self.proxy, "ready": self.ready, "zones": dict.fromkeys(ZONES, "local")}
         self._plan_process("proxy-1", "proxy", settings)
 
     def _member(self, name: str, zone: str, address: str, seeds: list[str]) -> dict[str, typing.Any]:
-        common = {"house": HOUSE, "seeds": seeds, "timings": TIMINGS}
+        common = {"house": CLUSTER, "seeds": seeds, "timings": TIMINGS}
         return {**common, "name": name, "zone": zone, "address": address}
 
     def _plan_process(self, name: str, role: str, settings: dict[str, typing.Any]) -> None:
--- a/basaltport/logs.py
+++ b/basaltport/logs.py
@@ -24,8 +24,8 @@
     return eliot.add_destinations(_human)
 
 
-def _human(m: dict[str, typing.Any]) -> None:
+def _human(message: dict[str, typing.Any]) -> None:
     skip = ("timestamp", "task_uuid", "task_level", "message_type")
-    rest = " ".join(f"{k}={v}" for k, v in m.items() if k not in skip and k != "number")
-    name = m.get("message_type", "").split(":")[-1]
-    print(f"{m.get('number', 0):>3} {name} {rest}", file=sys.stderr, flush=True)
+    rest = " ".join(f"{k}={v}" for k, v in message.items() if k not in skip and k != "number")
+    name = message.get("message_type", "").split(":")[-1]
+    print(f"{message.get('number', 0):>3} {name} {rest}", file=sys.stderr, flush=True)
--- a/basaltport/proxy/admission.py
+++ b/basaltport/proxy/admission.py
@@ -78,7 +78,7 @@
     def set_deadline(self, arrived: request.Request, event: events.Arrived) -> Rejection | None:
         """The smaller of the client's deadline and the route's, from when the request's head was there."""
         longest_ms = arrived.route.deadline_ms
-        remaining_ms = longest_ms if event.deadline < 0 else min(event.deadline, longest_ms)
+        remaining_ms = longest_ms if event.deadline_ms < 0 else min(event.deadline_ms, longest_ms)
         arrived.deadline = identifiers.Millis(event.now - event.body_ms + remaining_ms)
         return None if arrived.deadline > self.node.now else Rejection("no time is left", RETRY_AFTER_MS)
 
--- a/basaltport/proxy/admission_queue.py
+++ b/basaltport/proxy/admission_queue.py
@@ -46,7 +46,7 @@
 
     def hold(self, arrived: events.Arrived, now: identifiers.Millis) -> None:
         """Hold an arrival for a part of its client's time."""
-        held_ms = HELD_MS if arrived.deadline < 0 else min(HELD_MS, arrived.deadline * 2 // 3)
+        held_ms = HELD_MS if arrived.deadline_ms < 0 else min(HELD_MS, arrived.deadline_ms * 2 // 3)
         self[arrived.request] = HeldArrival(now + held_ms, arrived)
 
     def take_all(self) -> list[events.Arrived]:
--- a/basaltport/proxy/attempt.py
+++ b/basaltport/proxy/attempt.py
@@ -54,13 +54,13 @@
 class RequestOwner(interfaces.FleetView, typing.Protocol):
     """What attempts need of the node: the requests that they are for, and their ends.
 
-    `requests`: all that have no end yet; `queue`: those of them that wait; `tally`: ends of attempts by
-    outcome.
+    `requests`: all that have no end yet; `queue`: those of them that wait; `outcome_counts`: ends of
+    attempts by outcome.
     """
 
     requests: dict[int, request.Request]
     queue: admission_queue.AdmissionQueue
-    tally: dict[str, int]
+    outcome_counts: dict[str, int]
     is_ending: bool
 
     def emit(self, effect: object) -> None:
@@ -163,8 +163,8 @@
             return False
         known = self.balancer.health.of(attempt.replica_id)
         known.running_attempts = max(0, known.running_attempts - 1)
-        label, tally = result.outcome.value, self.node.tally
-        tally[label] = tally.get(label, 0) + 1
+        label, outcome_counts = result.outcome.value, self.node.outcome_counts
+        outcome_counts[label] = outcome_counts.get(label, 0) + 1
         self.learn(attempt, known, result)
         sent = self.node.requests.get(attempt.request_id)
         if sent is not None and sent.attempt is attempt:
--- a/basaltport/proxy/client_connections.py
+++ b/basaltport/proxy/client_connections.py
@@ -38,9 +38,9 @@
 
     def __init__(self) -> None:
         """Nothing was promised yet."""
-        self.longest_promised_s = 0.0
+        self.longest_allowed_s = 0.0
 
     def seconds(self, limits: collections.abc.Mapping[str, int]) -> float:
         """The limit under a configuration's `limits`."""
-        self.longest_promised_s = max(self.longest_promised_s, limits.get("idle_close_ms", 0) / SECOND_MS)
-        return max(LEAST_REST_S, self.longest_promised_s + MARGIN_S)
+        self.longest_allowed_s = max(self.longest_allowed_s, limits.get("idle_close_ms", 0) / SECOND_MS)
+        return max(LEAST_REST_S, self.longest_allowed_s + MARGIN_S)
--- a/basaltport/proxy/client_server.py
+++ b/basaltport/proxy/client_server.py
@@ -196,8 +196,8 @@
         """Our own answer where a body was not read: nothing ran, nor will."""
         if reason is not request_body.Reason.NO_ROOM:
             return aiohttp.web.Response(status=reason.value)
-        tally = self.proxy.tally
-        tally[NO_ROOM] = tally.get(NO_ROOM, 0) + 1
+        outcome_counts = self.proxy.outcome_counts
+        outcome_counts[NO_ROOM] = outcome_counts.get(NO_ROOM, 0) + 1
         claim = memory_limit.Claim(self.answer_memory)
         answer = response.ClientResponse(request, b"", self.names, self.is_stopping, claim)
         answer.respond(reason.value, "no room for the body", admission.RETRY_AFTER_MS)
--- a/basaltport/proxy/events.py
+++ b/basaltport/proxy/events.py
@@ -1,4 +1,4 @@
-"""Events and effects of the relay, beside those of `basaltport.events`."""
+"""Events and effects of a proxy's reducer, beside those of `basaltport.events`."""
 
 import dataclasses
 
@@ -8,17 +8,17 @@
 
 @dataclasses.dataclass(slots=True)
 class Arrived:
-    """A client's request, read and whole. `deadline`: ms that the client waits, or -1; `body_ms`: how long
-    its body took to read, which counts against all deadlines."""
+    """A client's request, read and whole. `deadline_ms`: how long the client waits, or -1; `body_ms`: how
+    long its body took to read, which counts against all deadlines."""
 
     now: identifiers.Millis
     request: int
     host: str
     path: str
     item: identifiers.Item
-    deadline: int
-    tokens: int = 0
-    prefix: str = ""
+    deadline_ms: int
+    prompt_tokens: int = 0
+    prompt_prefix: str = ""
     body_ms: int = 0
 
 
@@ -56,25 +56,26 @@
 
 @dataclasses.dataclass(slots=True)
 class Attempt:
-    """Send a request to a replica. `left`: ms until the client gives up."""
+    """Send a request to a replica. `remaining_ms`: until the client gives up."""
 
     request: int
     attempt: int
     replica: str
     address: str
-    left: int
+    remaining_ms: int
     priority: int
     repeatable: bool
 
 
 @dataclasses.dataclass(slots=True)
 class Close:
-    """The final word of our own: nothing else goes to this client. `ran`: it may have run."""
+    """An answer of our own, which is the last that goes to this client. `retry_after_ms`: when it may come
+    back, 0 where that is not told."""
 
     request: int
     status: int
     detail: str
-    retry_after: int = 0
+    retry_after_ms: int = 0
 
 
 @dataclasses.dataclass(slots=True)
--- a/basaltport/proxy/header_names.py
+++ b/basaltport/proxy/header_names.py
@@ -1,4 +1,5 @@
-"""Header names of relayed requests: the product's own, or those of the platform that it runs on."""
+"""Header names of requests that are passed on: the product's own, or those of the platform that it runs
+on."""
 
 import dataclasses
 
--- a/basaltport/proxy/node.py
+++ b/basaltport/proxy/node.py
@@ -73,7 +73,7 @@
         self.requests: dict[int, request.Request] = {}
         self.queue = admission_queue.AdmissionQueue()
         self.held_arrivals = admission_queue.HeldArrivals()
-        self.tally: dict[str, int] = {}
+        self.outcome_counts: dict[str, int] = {}
         self.stopped = False
         self.is_ending = False
         self.health = health.HealthTable()
@@ -94,7 +94,7 @@
         are."""
         out = copy.copy(self)
         out.now, out.rng, out.out = now, random.Random(0), []
-        out.requests, out.tally = dict(self.requests), {}
+        out.requests, out.outcome_counts = dict(self.requests), {}
         out.queue = admission_queue.AdmissionQueue(self.queue)
         out.health = self.health.copied(self.rows)
         out.budgets = retry_budget.RetryBudgets(self.budgets.started_at, self.timings)
@@ -162,20 +162,20 @@
 
     # requests
 
-    def on_arrived(self, ev: events.Arrived) -> None:
+    def on_arrived(self, event: events.Arrived) -> None:
         """A client's request, read and whole."""
         if self.is_ending:
-            self.emit(events.Close(ev.request, UNAVAILABLE, ENDING, attempt.RETRY_AFTER_MS))
+            self.emit(events.Close(event.request, UNAVAILABLE, ENDING, attempt.RETRY_AFTER_MS))
             return
         if not self.is_fed():
-            self.hold(ev)
+            self.hold(event)
             return
-        route = self.table.match(ev.host, ev.path)
+        route = self.table.match(event.host, event.path)
         if route is None:
-            self.emit(events.Close(ev.request, NOT_FOUND, "no route"))
+            self.emit(events.Close(event.request, NOT_FOUND, "no route"))
             return
-        arrived = request.Request(ev.request, route, ev)
-        rejection = self.admission.admit(arrived, ev)
+        arrived = request.Request(event.request, route, event)
+        rejection = self.admission.admit(arrived, event)
         if rejection is not None:
             self.count_rejection()
             effect = events.Close(arrived.id, UNAVAILABLE, rejection.detail, rejection.retry_after_ms)
@@ -186,16 +186,16 @@
 
     def count_rejection(self) -> None:
         """Count a rejection of our own."""
-        self.tally[REJECTED_HERE] = self.tally.get(REJECTED_HERE, 0) + 1
+        self.outcome_counts[REJECTED_HERE] = self.outcome_counts.get(REJECTED_HERE, 0) + 1
 
     # a node that just started
 
-    def hold(self, ev: events.Arrived) -> None:
+    def hold(self, event: events.Arrived) -> None:
         """Hold an arrival until the feed is there."""
         if self.held_arrivals.is_full():
-            self.emit(events.Close(ev.request, UNAVAILABLE, STARTING, STARTING_RETRY_AFTER_MS))
+            self.emit(events.Close(event.request, UNAVAILABLE, STARTING, STARTING_RETRY_AFTER_MS))
             return
-        self.held_arrivals.hold(ev, self.now)
+        self.held_arrivals.hold(event, self.now)
 
     def route_held_arrivals(self) -> None:
         """Route what was held, once there is something to route by."""
@@ -259,26 +259,26 @@
         self.requests.pop(ended.id, None)
         self.queue.pop(ended.id, None)
 
-    def on_left(self, ev: events.Left) -> None:
+    def on_left(self, event: events.Left) -> None:
         """The client went away: its attempt is stopped."""
-        self.held_arrivals.pop(ev.request, None)
-        left = self.requests.get(ev.request)
+        self.held_arrivals.pop(event.request, None)
+        left = self.requests.get(event.request)
         if left is None:
             return
         self.forget(left)
         if left.attempt and left.attempt.id in self.attempts.in_flight:
             self.attempts.stop(left.attempt, request.StopReason.CLIENT_LEFT)
 
-    def on_progress(self, ev: events.Progress) -> None:
+    def on_progress(self, event: events.Progress) -> None:
         """Bytes of an answer came."""
-        self.attempts.progressed(ev.attempt)
+        self.attempts.progressed(event.attempt)
 
-    def on_ended(self, ev: events.Ended) -> None:
+    def on_ended(self, event: events.Ended) -> None:
         """An attempt ended."""
-        if self.attempts.ended(ev.attempt, ev.result):
+        if self.attempts.ended(event.attempt, event.result):
             self.pump()
 
-    def on_tick(self, ev: base.Tick) -> None:
+    def on_tick(self, event: base.Tick) -> None:
         """What time alone brings about."""
         follow.FollowMixin.tick_follow(self)
         self.expire_held_arrivals()
@@ -304,11 +304,11 @@
 
     # the end
 
-    def on_stop(self, ev: base.Stop) -> None:
+    def on_stop(self, event: base.Stop) -> None:
         """Not ready from here on; what comes is still served."""
         self.stopped = True
 
-    def on_finish(self, ev: events.Finish) -> None:
+    def on_finish(self, event: events.Finish) -> None:
         """What waits is rejected; attempts under way are stopped, and their ends tell what may be
         promised."""
         self.is_ending = True
--- a/basaltport/proxy/request.py
+++ b/basaltport/proxy/request.py
@@ -56,8 +56,8 @@
         self.item = arrived.item if route.pinned else identifiers.Item("")
         self.arrived_at = arrived.now
         self.deadline = arrived.now
-        self.prompt_tokens = arrived.tokens
-        self.prompt_prefix = arrived.prefix
+        self.prompt_tokens = arrived.prompt_tokens
+        self.prompt_prefix = arrived.prompt_prefix
         self.attempt: Attempt | None = None
         self.sent_attempts = 0
         self.unsent_attempts = 0
--- a/basaltport/proxy/retry_decision.py
+++ b/basaltport/proxy/retry_decision.py
@@ -113,11 +113,11 @@
     """Whether time, bounds and budget let it go again. A replica that only refused it may be asked again,
     though the route lets it go to no other."""
     has_replica = known.has_replica or known.outcome is Outcome.REFUSED
-    is_free = known.outcome is Outcome.UNSENT and not known.was_sent
+    needs_no_budget = known.outcome is Outcome.UNSENT and not known.was_sent
     bounds = cold_start.ResendBounds(
         has_attempts=known.has_attempts and has_replica,
         in_time=known.has_time,
-        in_budget=known.has_budget or is_free,
+        in_budget=known.has_budget or needs_no_budget,
     )
     return bounds.allow()
 
--- a/basaltport/proxy/server.py
+++ b/basaltport/proxy/server.py
@@ -180,7 +180,7 @@
         """An answer of our own."""
         answer = self.clients.responses.get(effect.request)
         if answer:
-            answer.respond(effect.status, effect.detail, effect.retry_after)
+            answer.respond(effect.status, effect.detail, effect.retry_after_ms)
 
     def do_pass(self, effect: events.Pass) -> None:
         """A replica's kept failure."""
--- a/basaltport/proxy/status_pages.py
+++ b/basaltport/proxy/status_pages.py
@@ -95,7 +95,7 @@
         "requests": len(proxy.requests),
         "runs": {name: attempts for name, attempts in running.items() if attempts},
         "replicas": replicas(proxy, now),
-        "tally": dict(sorted(proxy.tally.items())),
+        "tally": dict(sorted(proxy.outcome_counts.items())),
         "retries": retries(proxy, now),
     }
 
@@ -216,7 +216,7 @@
     yield gauge("waiting", "Requests that wait", len(proxy.queue))
     oldest = max((now - waiting.arrived_at for waiting in proxy.queue.values()), default=0)
     yield gauge("wait_seconds", "The longest of the waits", oldest / SECOND_MS)
-    ends = [((label,), number) for label, number in sorted(proxy.tally.items())]
+    ends = [((label,), number) for label, number in sorted(proxy.outcome_counts.items())]
     yield "basaltport_outcomes", "counter", "Ends of attempts and own refusals", ("outcome",), ends
     left = [((service,), row["left"]) for service, row in sorted(retries(proxy, now).items())]
     text = "Further attempts that there may be now"
--- a/basaltport/proxy/upstream.py
+++ b/basaltport/proxy/upstream.py
@@ -136,7 +136,7 @@
         """The headers that go to the replica."""
         names = self.names
         headers = multidict.CIMultiDict(sink.headers)
-        headers[names.deadline] = str(max(1, attempt.left))
+        headers[names.deadline] = str(max(1, attempt.remaining_ms))
         headers[names.expect_replica] = attempt.replica
         headers[names.priority] = str(attempt.priority)
         headers[ATTEMPT_HEADER] = str(attempt.attempt)
@@ -150,7 +150,7 @@
         need = upstream_pool.ConnectionNeed(sink.request_id, not attempt.repeatable)
         self.needs[attempt.attempt] = need
         try:
-            async with asyncio.timeout(attempt.left / SECOND_MS):
+            async with asyncio.timeout(attempt.remaining_ms / SECOND_MS):
                 return await self.exchange(attempt, sink, progress)
         except TimeoutError:
             return self.lost(attempt, sink, Outcome.LATE, "the time is over")
--- a/basaltport/simulation/routes/attempts.py
+++ b/basaltport/simulation/routes/attempts.py
@@ -77,7 +77,7 @@
         self.attempts[node.name, node.incarnation, effect.attempt] = attempt
         client_try.attempts.append(attempt)
         attempt.touch = node.name in self.touching
-        self.later(effect.left, self.time_out, attempt)
+        self.later(effect.remaining_ms, self.time_out, attempt)
         replica = self.at_place.get(effect.address)
         connection = (node.name, node.incarnation, effect.address)
         if replica is None:
--- a/basaltport/simulation/routes/clients.py
+++ b/basaltport/simulation/routes/clients.py
@@ -233,7 +233,7 @@
     def do_close(self, node: nodes.Node, effect: proxy_events.Close) -> None:
         """The proxy answers by itself."""
         client_try = self.try_of(node, effect.request)
-        self.later(1, self.end_try, client_try, "own", effect.status, effect.retry_after)
+        self.later(1, self.end_try, client_try, "own", effect.status, effect.retry_after_ms)
 
     def do_pass(self, node: nodes.Node, effect: proxy_events.Pass) -> None:
         """The proxy passes a failure on."""
--- a/tests/fleet_stand.py
+++ b/tests/fleet_stand.py
@@ -166,5 +166,5 @@
     m.health["r5"] = m.health.of("r5")
     m.health["r5"].is_replaced = True
     m.budgets.of("write").first_attempt(now)
-    m.tally["done"] = 3
+    m.outcome_counts["done"] = 3
     return m, now
--- a/tests/proxy_stand.py
+++ b/tests/proxy_stand.py
@@ -1,4 +1,4 @@
-"""A stand-in replica that answers as a script says, byte for byte, and a relay in front of it."""
+"""A stand-in replica that answers as a script says, byte for byte, and a proxy in front of it."""
 
 import dataclasses
 import asyncio
@@ -131,8 +131,8 @@
 
 
 class Front:
-    """A relay's shell on 127.0.0.1, told its replicas and configuration directly; no leader. `settings`: more
-    of them."""
+    """A proxy's server on 127.0.0.1, told its replicas and configuration directly; no leader. `settings`:
+    more of them."""
 
     def __init__(self, replicas, doc=None, timings=None, settings=None):
         self.replicas = replicas
--- a/tests/request_cases.py
+++ b/tests/request_cases.py
@@ -1,4 +1,4 @@
-"""Many small cases at once: each a route, a service of two replicas and a client of its own, one relay."""
+"""Many small cases at once: each a route, a service of two replicas and a client of its own, one proxy."""
 
 import asyncio
 import collections.abc
--- a/tests/request_stand.py
+++ b/tests/request_stand.py
@@ -202,7 +202,7 @@
         return True
 
     async def peek(self, sock: socket.socket) -> bytes:
-        """What has come, left where it is; waits for a whole head, which the relay sends at once."""
+        """What has come, left where it is; waits for a whole head, which the proxy sends at once."""
         seen = b""
         while True:
             await readable(sock)
@@ -216,7 +216,7 @@
         while len(raw) < size:
             part = await self.loop.sock_recv(sock, size - len(raw))
             if not part:
-                raise ConnectionResetError("the relay sent no more")
+                raise ConnectionResetError("the proxy sent no more")
             raw += part
         return raw
 
--- a/tests/request_sweeps.py
+++ b/tests/request_sweeps.py
@@ -42,8 +42,8 @@
     return requests * len(request_cases.request_bytes(0, ANY_ID, request_cases.BODY))
 
 
-def relayed_size() -> int:
-    """No fewer bytes than a request has as the relay sends it on."""
+def forwarded_size() -> int:
+    """No fewer bytes than a request has as the proxy sends it on."""
     return request_size() + 100
 
 
@@ -82,7 +82,7 @@
             (Behaviour(kind, k, sent, end), *good(route)),
             good(route),
         )
-        for k in range(relayed_size())
+        for k in range(forwarded_size())
     ]
 
 
--- a/tests/request_world.py
+++ b/tests/request_world.py
@@ -130,7 +130,7 @@
         busy = [f for f in self.flights.values() if f.ask is ask]
         self.must(not busy, "one attempt at a time", effect)
         self.must(self.states[effect.replica] == "ready", "nothing goes to what leaves", effect)
-        flight = Flight(proxy, effect, ask, self.now_ms + effect.left)
+        flight = Flight(proxy, effect, ask, self.now_ms + effect.remaining_ms)
         self.flights[proxy, effect.attempt] = flight
 
     def told(self, proxy: int, effect: typing.Any) -> None:
--- a/tests/slow_stand.py
+++ b/tests/slow_stand.py
@@ -1,4 +1,4 @@
-"""Peers that send much, take little or never end, round one relay with little memory; and what it holds."""
+"""Peers that send much, take little or never end, round one proxy with little memory; and what it holds."""
 
 import asyncio
 import collections.abc
--- a/tests/test_adr_0041_routes.py
+++ b/tests/test_adr_0041_routes.py
@@ -87,7 +87,7 @@
     s.ask()
     assert told(s, "loaded") == told(s, "loading") == []
     closed = told(s, "unavailable", retry_after_ms=700)
-    assert [(e.status, e.detail, e.retry_after) for e in closed] == [(503, "unavailable", 700)] * 2
+    assert [(e.status, e.detail, e.retry_after_ms) for e in closed] == [(503, "unavailable", 700)] * 2
 
 
 def test_the_limit_is_twice_the_expected_load_at_least_30_s_and_300_s_where_none_is_known():
@@ -104,7 +104,7 @@
     s = sim()
     s.ask(deadline=9000)
     s.wait(3000)
-    assert [e.left for e in s.rows(HOLDS_IT)] == [6000]
+    assert [e.remaining_ms for e in s.rows(HOLDS_IT)] == [6000]
 
 
 def test_the_limit_never_runs_past_the_client_s_deadline():
@@ -118,7 +118,7 @@
         s = sim()
         told(s, "loading", expected_ms=8000)
         closed = s.ask(deadline=left_ms)
-        assert [(e.status, e.retry_after) for e in closed] == [(503, 8000)] * refused
+        assert [(e.status, e.retry_after_ms) for e in closed] == [(503, 8000)] * refused
 
 
 def test_after_a_time_out_the_placement_is_asked_once_and_nothing_is_sent_again():
@@ -179,7 +179,7 @@
 
 @pytest.mark.parametrize("policy, sooner", [(decision.JSON_API, False), (decision.ROUTES, True)])
 def test_only_routes_ask_sooner_for_twice_the_demand_and_never_within_100_ms(policy, sooner):
-    schedule = decision.AskSchedule(asked_at=1000, next_ask_at=2000, told_demand=4)
+    schedule = decision.AskSchedule(asked_at=1000, next_ask_at=2000, reported_demand=4)
     for now, demand, may in ((2000, 0, True), (1999, 7, False), (1099, 8, False), (1100, 8, sooner)):
         assert decision.may_ask(policy, schedule, now, demand) is may
 
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -1,4 +1,4 @@
-"""The relay's reducer on virtual time: what goes where, what goes again, what is refused and when."""
+"""The proxy's reducer on virtual time: what goes where, what goes again, what is refused and when."""
 
 import dataclasses
 import pytest
@@ -16,7 +16,7 @@
 
 
 class Sim:
-    """Drives a Relay; `out` collects its effects but for messages and notes."""
+    """Drives a ProxyNode; `out` collects its effects but for messages and notes."""
 
     def __init__(self, rows, doc=None, timings=None, proxies=1):
         me = member.Me("h", "p1", "p1-s", "proxy", "z1", "127.0.0.1:1", "", [], 0)
@@ -106,7 +106,7 @@
     s.m.out = []
     s.m.on_facts({"birch": {"state": "unavailable", "retry_after_ms": 700}})
     c = s.m.out[0]
-    assert (type(c), c.status, c.retry_after) == (events.Close, 503, 700)
+    assert (type(c), c.status, c.retry_after_ms) == (events.Close, 503, 700)
 
 
 def test_a_request_whose_time_does_not_cover_the_load_is_refused_before_it_waits():
@@ -122,7 +122,7 @@
     s.ask("once", deadline=2000)
     got = s.wait(2000)
     assert [type(e) for e in got] == [events.Close]
-    assert got[0].status == 503 and got[0].retry_after > 0
+    assert got[0].status == 503 and got[0].retry_after_ms > 0
     assert s.now - 100_000 == 2000 and not s.m.requests
 
 
@@ -354,11 +354,11 @@
     assert fresh.ask("safe", deadline=3000) == [] and fresh.ask("once", deadline=900) == []
     got = fresh.wait(600)
     assert [(type(e), e.request, e.status) for e in got] == [(events.Close, 2, 503)]
-    assert got[0].retry_after > 0
+    assert got[0].retry_after_ms > 0
     fresh.m.out = []
     stand.fill(fresh.m, rows.values(), doc)
     sent = [e for e in fresh.m.out if isinstance(e, events.Attempt)]
-    assert [(e.request, e.left) for e in sent] == [(1, 2400)]
+    assert [(e.request, e.remaining_ms) for e in sent] == [(1, 2400)]
 
 
 def test_a_refused_request_of_one_attempt_is_offered_again_to_that_replica_only():
--- a/tests/test_proxy_wire.py
+++ b/tests/test_proxy_wire.py
@@ -1,4 +1,4 @@
-"""Whole exchanges through a relay: what the replica saw, what the client got."""
+"""Whole exchanges through a proxy: what the replica saw, what the client got."""
 
 import asyncio
 
--- a/tests/test_request_bytes_mutations.py
+++ b/tests/test_request_bytes_mutations.py
@@ -1,4 +1,4 @@
-"""Each check of the byte sweep is seen to fail: a rule of the relay is broken, and its check must say so."""
+"""Each check of the byte sweep is seen to fail: a rule of the proxy is broken, and its check must say so."""
 
 import asyncio
 import dataclasses
@@ -57,7 +57,7 @@
 
 
 async def _ten_times_the_time(self, e, sink, progress):
-    return await _run(self, dataclasses.replace(e, left=10 * e.left), sink, progress)
+    return await _run(self, dataclasses.replace(e, remaining_ms=10 * e.remaining_ms), sink, progress)
 
 
 def _give_as_our_own(self, attempt):
