--- a/basaltport/consensus/codec.py
+++ b/basaltport/consensus/codec.py
@@ -26,6 +26,7 @@
 ENTRY_RECORD = "entry"
 BATCH = "batch"
 DIGEST_CHARACTERS = 16
+UNKNOWN = "unknown"
 
 _MALFORMED = (KeyError, TypeError, ValueError, AttributeError, IndexError)
 
@@ -44,12 +45,12 @@
 class _Form(typing.Generic[R]):
     """The document of a record: its fields in the order in which they are written."""
 
-    def __init__(self, record: type[R], *fields: _Field) -> None:
+    def __init__(self, record: collections.abc.Callable[..., R], *fields: _Field) -> None:
         self.record = record
         self.fields = fields
         self.keys = frozenset(field.key for field in fields)
 
-    def encode(self, record: typing.Any) -> Document:
+    def encode(self, record: R) -> Document:
         """The document of a record."""
         document: Document = {}
         for key, name, encode, _, is_absent in self.fields:
@@ -57,8 +58,9 @@
             if is_absent is not None and is_absent(value):
                 continue
             document[key] = value if encode is None or value is None else encode(value)
-        if record.unknown:
-            document.update(record.unknown)
+        unknown: log.Unknown = getattr(record, UNKNOWN)
+        if unknown:
+            document.update(unknown)
         return document
 
     def decode(self, document: Document) -> R:
@@ -167,13 +169,13 @@
 _CHANGE = _Field("change", "change_id", is_absent=_is_none)
 
 
-def _operation(record: type[log.Operation], *fields: _Field) -> _Form[log.Operation]:
-    return _Form(record, _Field("op", "kind"), *fields, _CHANGE)
+def _operation(record: type[log.Operation], *fields: _Field) -> tuple[str, _Form[log.Operation]]:
+    return record.KIND, _Form(record, _Field("op", "kind"), *fields, _CHANGE)
 
 
 _OPERATIONS: dict[str, _Form[log.Operation]] = {
-    form.record.KIND: form
-    for form in (
+    kind: form
+    for kind, form in (
         _operation(
             log.ClusterFounded,
             _Field("roster", "members", *_MEMBERS),
--- a/basaltport/consensus/member_identity.py
+++ b/basaltport/consensus/storage/member_identity.py
@@ -1,38 +1,40 @@
-"""The file `current`: whose folder this is, by which seat, and which snapshot and log are in force.
+"""The file `current`: whose folder this is, by which member id, and which snapshot and log are in force.
 
 Identity and number stand in one file and change by one rename, so that neither survives without the other.
-Format 1 kept seat and founders in files of their own; such folders are still read.
+Format 1 kept member id and founders in files of their own; such folders are still read.
 """
 
 import dataclasses
 import json
 import os
+import typing
 
 import result
 
-import basaltport.consensus.durable_files as durable_files
+import basaltport.consensus.storage.durable_files as durable_files
+import basaltport.errors as errors
 
 FORMAT = 2
 SEPARATE_FILES = 1
 NOTHING_WRITTEN = 0
 CURRENT = "current"
-SEAT = "seat"
+MEMBER_ID = "seat"
 FOUNDERS = "founders"
-SEPARATE = (SEAT, SEAT + durable_files.NEW, FOUNDERS)
+SEPARATE = (MEMBER_ID, MEMBER_ID + durable_files.NEW, FOUNDERS)
 
 
 @dataclasses.dataclass(frozen=True)
 class Identity:
-    """The seat a member votes under; at the first start of all also the addresses that may found."""
+    """The id that a member votes under; at the first start of all also the addresses that may found."""
 
-    seat: str
+    member_id: str
     founders: tuple[str, ...] | None = None
 
 
 @dataclasses.dataclass(frozen=True)
 class Manifest:
     """What `current` says. With number 0 nothing but the identity was ever kept. `identity` is None where a
-    folder of format 1 has lost its seat."""
+    folder of format 1 has lost its member id."""
 
     member: str
     number: int
@@ -41,6 +43,7 @@
 
 
 def path(folder: str) -> str:
+    """The path of `current`."""
     return os.path.join(folder, CURRENT)
 
 
@@ -63,19 +66,19 @@
     return result.Ok(Manifest(owner, number, identity, form))
 
 
-def _identity(document: dict) -> Identity:
+def _identity(document: dict[str, typing.Any]) -> Identity:
     founders = document["founders"]
     return Identity(document["seat"], None if founders is None else tuple(founders))
 
 
 def _separate_identity(folder: str) -> Identity | None:
-    seat = _read(folder, SEAT).decode().strip()
-    if not seat:
+    member_id = _read(folder, MEMBER_ID).decode().strip()
+    if not member_id:
         return None
     try:
-        return Identity(seat, tuple(json.loads(_read(folder, FOUNDERS))))
+        return Identity(member_id, tuple(json.loads(_read(folder, FOUNDERS))))
     except ValueError:
-        return Identity(seat)
+        return Identity(member_id)
 
 
 def _read(folder: str, name: str) -> bytes:
@@ -87,13 +90,15 @@
 
 
 def prepare(folder: str, manifest: Manifest) -> None:
-    """Write a manifest beside the one in force; `commit` switches to it."""
+    """Write a manifest beside the one in force; `commit` switches to it. StorageError without an identity."""
     identity = manifest.identity
+    if identity is None:
+        raise errors.StorageError(f"the folder {folder} of member {manifest.member!r} has no member id")
     document = {
         "format": manifest.format,
         "member": manifest.member,
         "n": manifest.number,
-        "seat": identity.seat,
+        "seat": identity.member_id,
         "founders": None if identity.founders is None else list(identity.founders),
     }
     durable_files.prepare(path(folder), json.dumps(document).encode())
--- a/basaltport/consensus/record_framing.py
+++ b/basaltport/consensus/storage/record_framing.py
@@ -15,10 +15,11 @@
 
 import basaltport.consensus.codec as codec
 import basaltport.consensus.log as log
+import basaltport.errors as errors
 import basaltport.text as text
 
 HEADER = construct.Struct("length" / construct.Int32ub, "crc" / construct.Int32ub)
-HEADER_SIZE = HEADER.sizeof()
+HEADER_SIZE: int = HEADER.sizeof()
 _KEYS = "|".join((codec.BATCH, codec.ENTRY_RECORD, codec.TERM_RECORD))
 BEGINNING = re.compile(rb'\{"(' + _KEYS.encode() + rb')":')
 
@@ -38,7 +39,8 @@
 
 
 def _frame(body: bytes) -> bytes:
-    return HEADER.build({"length": len(body), "crc": zlib.crc32(body)}) + body
+    header: bytes = HEADER.build({"length": len(body), "crc": zlib.crc32(body)})
+    return header + body
 
 
 def encode(record: log.DiskRecord) -> bytes:
@@ -74,7 +76,10 @@
         if frame is None:
             break
         documents = frame.document.get(codec.BATCH, [frame.document])
-        records += map(codec.decode_record, documents)
+        try:
+            records += map(codec.decode_record, documents)
+        except errors.StoredFormError as error:
+            return result.Err(f"the record at byte {length} cannot be understood: {error}")
         length = frame.end
     for match in BEGINNING.finditer(raw, length + HEADER_SIZE + 1):
         start = match.start() - HEADER_SIZE
--- a/basaltport/consensus/snapshot_store.py
+++ b/basaltport/consensus/storage/snapshot_store.py
@@ -5,20 +5,24 @@
 import dbm.dumb
 import json
 import os
+import typing
 import zlib
 
 import result
 
 import basaltport.consensus.codec as codec
-import basaltport.consensus.durable_files as durable_files
+import basaltport.consensus.storage.durable_files as durable_files
 import basaltport.consensus.state_machine as state_machine
 import basaltport.identifiers as identifiers
 import basaltport.text as text
 
-BOOK = "book/"
+STATE = "book/"
+ENTRIES = "tail"
+TERM = "promised"
 CHECKSUMS = "sum"
 SYNCED = ("dat", "dir")
 ALL_FILES = ("dat", "dir", "bak")
+FILE_MODE = 0o666
 
 Encoded = dict[str, bytes]
 """The values of a snapshot by key."""
@@ -36,32 +40,29 @@
     """As `dbm.dumb.open` gives it, but without `chmod`, which not every place offers."""
 
     def __init__(self, path: str, flag: str) -> None:
-        super().__init__(path, 0o666, flag)
+        """`path`: of its files, without their endings; `flag`: "n" to write a new one, "r" to read."""
+        mode: typing.Any = FILE_MODE
+        super().__init__(path, mode, flag)
 
     def _chmod(self, file: str) -> None:
         pass
 
 
-def empty() -> Snapshot:
-    """The state of a member that was never told anything."""
-    return Snapshot()
-
-
-def parts(snapshot: Snapshot) -> Encoded:
+def encode(snapshot: Snapshot) -> Encoded:
     """A snapshot as its values by key."""
     document = codec.encode_state(snapshot.held.cluster_state)
-    values = {BOOK + k: text.dumps({k: v})[len(k) + 4 : -1] for k, v in document.items()}
-    values["tail"] = text.dumps(codec.encode_entries(snapshot.held.uncommitted))
-    values["promised"] = text.plain(list(snapshot.current_term))
+    values = {STATE + k: text.dumps({k: v})[len(k) + 4 : -1] for k, v in document.items()}
+    values[ENTRIES] = text.dumps(codec.encode_entries(snapshot.held.uncommitted))
+    values[TERM] = text.plain(list(snapshot.current_term))
     return values
 
 
 def decode(values: Encoded) -> Snapshot:
     """The snapshot of its values by key."""
-    document = {k.removeprefix(BOOK): json.loads(v) for k, v in values.items() if k.startswith(BOOK)}
-    entries = tuple(codec.decode_entries(json.loads(values["tail"])))
+    document = {k.removeprefix(STATE): json.loads(v) for k, v in values.items() if k.startswith(STATE)}
+    entries = tuple(codec.decode_entries(json.loads(values[ENTRIES])))
     held = state_machine.ReplicatedState(codec.decode_state(document), entries)
-    return Snapshot(held, identifiers.Term(*json.loads(values["promised"])))
+    return Snapshot(held, identifiers.Term(*json.loads(values[TERM])))
 
 
 def _path(folder: str, number: int) -> str:
@@ -71,7 +72,7 @@
 def write(folder: str, number: int, snapshot: Snapshot | Encoded) -> None:
     """Write and sync the files of a snapshot; their names are safe once the folder is synced. Leftovers are
     removed here, since dbm.dumb goes on with an index whose removal was refused."""
-    values = parts(snapshot) if isinstance(snapshot, Snapshot) else dict(snapshot)
+    values = encode(snapshot) if isinstance(snapshot, Snapshot) else dict(snapshot)
     checksums = {key: zlib.crc32(value) for key, value in values.items()}
     values[CHECKSUMS] = json.dumps(checksums).encode()
     path = _path(folder, number)
@@ -89,7 +90,8 @@
     try:
         with Database(_path(folder, number), "r") as database:
             checksums = json.loads(database[CHECKSUMS])
-            values = {key.decode(): database[key] for key in database.keys() if key != CHECKSUMS.encode()}
+            names = [key.decode() for key in database.keys() if isinstance(key, bytes)]
+            values = {name: database[name] for name in names if name != CHECKSUMS}
         if {key: zlib.crc32(value) for key, value in values.items()} != checksums:
             return result.Err("a snapshot record's checksum differs")
         return result.Ok(decode(values))
--- a/basaltport/consensus/write_ahead_log.py
+++ b/basaltport/consensus/storage/write_ahead_log.py
@@ -5,10 +5,10 @@
 
 import result
 
-import basaltport.consensus.durable_files as durable_files
+import basaltport.consensus.storage.durable_files as durable_files
 import basaltport.consensus.log as log
-import basaltport.consensus.record_framing as record_framing
-import basaltport.consensus.snapshot_store as snapshot_store
+import basaltport.consensus.storage.record_framing as record_framing
+import basaltport.consensus.storage.snapshot_store as snapshot_store
 import basaltport.consensus.state_machine as state_machine
 
 
@@ -38,6 +38,7 @@
     """One log file, open for appending."""
 
     def __init__(self, file: typing.BinaryIO) -> None:
+        """`file`: open for writing at its end, unbuffered."""
         self.file = file
 
     @staticmethod
@@ -81,7 +82,9 @@
         self.sync()
 
     def sync(self) -> None:
+        """Have all that was appended on the disk; OSError where that is not sure."""
         os.fsync(self.file.fileno())
 
     def close(self) -> None:
+        """Close the file."""
         self.file.close()
--- a/basaltport/controller/server.py
+++ b/basaltport/controller/server.py
@@ -8,8 +8,8 @@
 import signal
 import typing
 
-import basaltport.consensus.journal as journal
-import basaltport.consensus.member_identity as member_identity
+import basaltport.consensus.storage.member_disk as member_disk
+import basaltport.consensus.storage.member_identity as member_identity
 import basaltport.controller.disk_writer as disk_writer
 import basaltport.controller.events as controller_events
 import basaltport.controller.node as node
@@ -85,7 +85,7 @@
         self.me = member.Me(
             settings["house"],
             settings["name"],
-            recovered.identity.seat,
+            recovered.identity.member_id,
             "ledger",
             settings["zone"],
             settings["address"],
@@ -101,7 +101,7 @@
             random.SystemRandom().getrandbits(64),
             identifiers.steady(),
             recovered.held,
-            recovered.promised,
+            recovered.current_term,
             lease_ms=settings.get("timings", {}).get("lease_ms", node.REPLICA_LEASE_MS),
             began=identifiers.Millis(started.AT_MS),
         )
@@ -115,14 +115,14 @@
         folder = settings["data"]
         founders = tuple(settings["seeds"]) if settings.get("first_start") else None
         member_id = identifiers.MemberId(f"{settings['name']}-{os.urandom(4).hex()}")
-        self.disk = journal.Disk(folder, settings["name"])
+        self.disk = member_disk.Disk(folder, settings["name"])
         opened = self.disk.open(member_identity.Identity(member_id, founders))
         if opened.is_err():
             logs.note(log_events.Event.DISK_REFUSED, {"folder": folder, "why": opened.err_value})
             raise OSError(f"data folder: {opened.err_value}")
         recovered = opened.ok_value
-        if recovered.new_seat:
-            logs.note(log_events.Event.SEAT_UNKNOWN, {"folder": folder, "seat": recovered.identity.seat})
+        if recovered.is_new_member:
+            logs.note(log_events.Event.SEAT_UNKNOWN, {"folder": folder, "seat": recovered.identity.member_id})
         return recovered
 
     def reseed(self, seeds: list[str]) -> None:
--- a/basaltport/host.py
+++ b/basaltport/host.py
@@ -14,8 +14,8 @@
 import basaltport.events as events
 import basaltport.query_api.events as query_events
 import basaltport.identifiers as identifiers
-import basaltport.consensus.journal as journal
-import basaltport.consensus.member_identity as member_identity
+import basaltport.consensus.storage.member_disk as member_disk
+import basaltport.consensus.storage.member_identity as member_identity
 import basaltport.query_api.log_node as log_node
 import basaltport.logs as logs
 import basaltport.member as member
@@ -72,15 +72,15 @@
         if self.role == "rostrum":
             self.member = query_node.QueryNode(self.me, seed, now)
             return None
-        self.disk = journal.Disk(self.settings["data"], self.settings["name"])
+        self.disk = member_disk.Disk(self.settings["data"], self.settings["name"])
         got = self.disk.open(member_identity.Identity(self.me.seat))
         if got.is_err():
             logs.note(log_events.Event.DISK_REFUSED, {"folder": self.settings["data"], "why": got.err_value})
             return got.err_value
         recovered = got.ok_value
-        self.me.seat = identifiers.MemberId(recovered.identity.seat)
-        self.member = log_node.LogNode(self.me, seed, now, recovered.held, recovered.promised)
-        if recovered.new_seat:
+        self.me.seat = identifiers.MemberId(recovered.identity.member_id)
+        self.member = log_node.LogNode(self.me, seed, now, recovered.held, recovered.current_term)
+        if recovered.is_new_member:
             logs.note(log_events.Event.SEAT_UNKNOWN, {"folder": self.settings["data"], "seat": self.me.seat})
         g, n = self.member.head()
         logs.note(
--- a/basaltport/shell.py
+++ b/basaltport/shell.py
@@ -2,7 +2,8 @@
 
 import asyncio
 
-import basaltport.consensus.journal as journal
+import basaltport.consensus.storage.record_framing as record_framing
+import basaltport.consensus.storage.snapshot_store as snapshot_store
 import basaltport.events as events
 import basaltport.handlers as handlers
 import basaltport.identifiers as identifiers
@@ -46,8 +47,8 @@
     def do_write(self, e):
         whole = None
         if e.whole is not None:
-            whole = journal.parts(journal.Snapshot(e.whole, self.member.promised))
-        self.writes.append((e.token, [journal.encode(r) for r in e.records], whole))
+            whole = snapshot_store.encode(snapshot_store.Snapshot(e.whole, self.member.promised))
+        self.writes.append((e.token, [record_framing.encode(r) for r in e.records], whole))
         if not self.writing:
             self.write_next()
 
--- a/basaltport/simulation/processes.py
+++ b/basaltport/simulation/processes.py
@@ -4,7 +4,7 @@
 import collections.abc
 import typing
 
-import basaltport.consensus.journal as journal
+import basaltport.consensus.storage.snapshot_store as snapshot_store
 import basaltport.events as events
 import basaltport.handlers as handlers
 import basaltport.identifiers as identifiers
@@ -90,7 +90,7 @@
         """Hands records, or a whole snapshot, to the disk."""
         snapshot = None
         if effect.whole is not None:
-            snapshot = journal.Snapshot(effect.whole, node.member.promised)
+            snapshot = snapshot_store.Snapshot(effect.whole, node.member.promised)
         node.disk.write(effect.token, effect.records, snapshot)
         self.sync_next(node)
 
--- a/basaltport/simulation/virtual_disk.py
+++ b/basaltport/simulation/virtual_disk.py
@@ -4,12 +4,11 @@
 
 import result
 
-import basaltport.consensus.journal as journal
 import basaltport.consensus.log as log
-import basaltport.consensus.record_framing as record_framing
-import basaltport.consensus.snapshot_store as snapshot_store
+import basaltport.consensus.storage.record_framing as record_framing
+import basaltport.consensus.storage.snapshot_store as snapshot_store
 import basaltport.consensus.state_machine as state_machine
-import basaltport.consensus.write_ahead_log as write_ahead_log
+import basaltport.consensus.storage.write_ahead_log as write_ahead_log
 import basaltport.identifiers as identifiers
 
 PREFIX_SHARE = 0.5
@@ -24,7 +23,7 @@
     def __init__(self, rng: random.Random) -> None:
         """It holds nothing, as a new one."""
         self.rng = rng
-        self.snap = journal.parts(journal.empty())
+        self.snap = snapshot_store.encode(snapshot_store.Snapshot())
         self.safe = b""
         self.queue: list[Queued] = []
         self.syncing = 0
@@ -34,10 +33,10 @@
         self.full = False
         self.broken = False
 
-    def write(self, token: int, records: list[log.DiskRecord], whole: journal.Snapshot | None) -> None:
+    def write(self, token: int, records: list[log.DiskRecord], whole: snapshot_store.Snapshot | None) -> None:
         """Takes a write; it is safe only when `done` is called for it."""
         raw = record_framing.encode_batch([record_framing.encode(r) for r in records]) if records else b""
-        self.queue.append((token, raw, journal.parts(whole) if whole is not None else None))
+        self.queue.append((token, raw, snapshot_store.encode(whole) if whole is not None else None))
 
     def sync_ends_at(self, now: int) -> int:
         """When a sync that begins now ends, in ms of the same clock."""
--- a/tests/crash_states.py
+++ b/tests/crash_states.py
@@ -8,14 +8,14 @@
 import typing
 import unittest.mock
 
-import basaltport.consensus.durable_files as durable_files
-import basaltport.consensus.journal as journal
+import basaltport.consensus.storage.durable_files as durable_files
+import basaltport.consensus.storage.member_disk as member_disk
 import basaltport.consensus.log as log
-import basaltport.consensus.member_identity as member_identity
-import basaltport.consensus.record_framing as record_framing
-import basaltport.consensus.snapshot_store as snapshot_store
+import basaltport.consensus.storage.member_identity as member_identity
+import basaltport.consensus.storage.record_framing as record_framing
+import basaltport.consensus.storage.snapshot_store as snapshot_store
 import basaltport.consensus.state_machine as state_machine
-import basaltport.consensus.write_ahead_log as write_ahead_log
+import basaltport.consensus.storage.write_ahead_log as write_ahead_log
 import basaltport.identifiers as identifiers
 import tests.crash_files as crash_files
 import tests.crash_system as crash_system
@@ -28,7 +28,7 @@
 NAME = "l"
 FOUNDERS = ("10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1")
 MOST_CHOICES = 20_000
-MODULES = (durable_files, journal, member_identity, snapshot_store, write_ahead_log)
+MODULES = (durable_files, member_disk, member_identity, snapshot_store, write_ahead_log)
 
 
 SYSTEM = crash_system.System()
@@ -40,7 +40,7 @@
     """All code of the disk runs on these files."""
     outer, SYSTEM.files = SYSTEM.files, files
     try:
-        with contextlib.nullcontext() if journal.os is SYSTEM else installed():
+        with contextlib.nullcontext() if member_disk.os is SYSTEM else installed():
             yield
     finally:
         SYSTEM.files = outer
@@ -110,13 +110,13 @@
     return log.TermRecord(identifiers.Term(term, "n"))
 
 
-def model_of(recovered: journal.Recovered) -> Model:
+def model_of(recovered: member_disk.Recovered) -> Model:
     """What was read back; any mixture of two states is an error here."""
     if recovered.held is None:
-        assert recovered.promised == identifiers.Term()
+        assert recovered.current_term == identifiers.Term()
         return Model()
     state, tail = recovered.held.cluster_state, recovered.held.uncommitted
-    model = Model(state.log_index, tuple((e.index, e.term.count) for e in tail), recovered.promised.count)
+    model = Model(state.log_index, tuple((e.index, e.term.count) for e in tail), recovered.current_term.count)
     expected = model.state().held
     assert tail == expected.uncommitted
     assert state == expected.cluster_state or model.serial == 0 and state == state_machine.ClusterState()
@@ -132,12 +132,12 @@
     identity: member_identity.Identity | None
     offered: tuple[member_identity.Identity, ...]
 
-    def check(self, recovered: journal.Recovered) -> Model:
+    def check(self, recovered: member_disk.Recovered) -> Model:
         model = model_of(recovered)
         assert model in self.models, f"{model} is not among {sorted(self.models, key=str)}"
         identities = self.offered if self.identity is None else (self.identity,)
         assert recovered.identity in identities, f"{recovered.identity} is not among {identities}"
-        assert not recovered.new_seat, "new_seat"
+        assert not recovered.is_new_member, "new_seat"
         return model
 
 
@@ -165,7 +165,7 @@
         self.starts = starts
         self.cuts: list[Cut] = []
         self.files.after = self.cut
-        self.disk: journal.Disk | None = None
+        self.disk: member_disk.Disk | None = None
         self.model = Model()
         self.failed = False
 
@@ -181,7 +181,7 @@
         self.starts += 1
         offered = (*self.expected.offered, fresh)
         self.expected = dataclasses.replace(self.expected, offered=offered)
-        self.disk = journal.Disk(self.folder, NAME)
+        self.disk = member_disk.Disk(self.folder, NAME)
         got = self.disk.open(fresh)
         if got.is_err() and self.files.refused:
             raise OSError(got.err_value)
@@ -205,8 +205,8 @@
             if with_snapshot:
                 model = model.agreed(model.tail[-1][0] if model.tail else model.serial)
                 reached = [point for point in reached if point in snapshots(calls, self.model)] + [model]
-            whole = journal.parts(model.state()) if with_snapshot else None
-            calls.append((token, [journal.encode(record) for record in records], whole, model))
+            whole = snapshot_store.encode(model.state()) if with_snapshot else None
+            calls.append((token, [record_framing.encode(record) for record in records], whole, model))
             for record in records:
                 model = model.add(record)
                 reached.append(model)
@@ -248,7 +248,7 @@
         contents["founders"] = json.dumps(founders).encode()
     contents["journal.1"] = record_framing.encode(promise(1)) + record_framing.encode(entry(1, 1))
     with on(files):
-        snapshot_store.write(FOLDER, 1, snapshot_store.empty())
+        snapshot_store.write(FOLDER, 1, snapshot_store.Snapshot())
         for name, content in contents.items():
             path = f"{FOLDER}/{name}"
             with files.open(path, "wb") as file:
--- a/tests/test_crash_mutations.py
+++ b/tests/test_crash_mutations.py
@@ -6,16 +6,16 @@
 
 import pytest
 
-import basaltport.consensus.durable_files as durable_files
-import basaltport.consensus.journal as journal
-import basaltport.consensus.member_identity as member_identity
-import basaltport.consensus.record_framing as record_framing
-import basaltport.consensus.snapshot_store as snapshot_store
-import basaltport.consensus.write_ahead_log as write_ahead_log
+import basaltport.consensus.storage.durable_files as durable_files
+import basaltport.consensus.storage.member_disk as member_disk
+import basaltport.consensus.storage.member_identity as member_identity
+import basaltport.consensus.storage.record_framing as record_framing
+import basaltport.consensus.storage.snapshot_store as snapshot_store
+import basaltport.consensus.storage.write_ahead_log as write_ahead_log
 import tests.crash_scripts as scripts
 
 Log = write_ahead_log.WriteAheadLog
-Disk = journal.Disk
+Disk = member_disk.Disk
 _sync, _prepare_file = durable_files.sync, durable_files.prepare
 _open, _prepare, _reopen = Disk.open, Disk._prepare, Log.reopen
 
@@ -93,7 +93,7 @@
 
 def _old_files_go_first(self, number, state):
     log = _prepare(self, number, state)
-    self._remove(self._generation_files(lambda other: other == self.number))
+    self._remove(self._numbered_files(lambda other: other == self.number))
     return log
 
 
@@ -101,12 +101,12 @@
     if whole is not None:
         self.switch(whole)
     if records:
-        self.log.append([journal.encode(r) if type(r) is dict else r for r in records])
+        self.log.append([r if type(r) is bytes else record_framing.encode(r) for r in records])
 
 
 def _forgets_founders(self, number):
-    identity = member_identity.Identity(self.identity.seat)
-    return member_identity.Manifest(self.name, number, identity)
+    identity = member_identity.Identity(self.identity.member_id)
+    return member_identity.Manifest(self.member, number, identity)
 
 
 def _seat_of_this_start(folder, member):
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -7,10 +7,11 @@
 import hypothesis.strategies as st
 
 import basaltport.identifiers as identifiers
-import basaltport.consensus.journal as journal
+import basaltport.consensus.storage.member_disk as member_disk
+import basaltport.consensus.storage.snapshot_store as snapshot_store
 import basaltport.consensus.log as log
-import basaltport.consensus.member_identity as member_identity
-import basaltport.consensus.record_framing as record_framing
+import basaltport.consensus.storage.member_identity as member_identity
+import basaltport.consensus.storage.record_framing as record_framing
 import basaltport.consensus.state_machine as state_machine
 
 G = identifiers.Term(1, "l")
@@ -23,11 +24,11 @@
 def holding(records):
     """A snapshot with the entries of some records."""
     held = state_machine.ReplicatedState(uncommitted=tuple(record.entry for record in records))
-    return journal.Snapshot(held)
+    return snapshot_store.Snapshot(held)
 
 
 def disk(path, name="l"):
-    d = journal.Disk(str(path), name)
+    d = member_disk.Disk(str(path), name)
     return d, d.open(member_identity.Identity("s1"))
 
 
@@ -65,7 +66,7 @@
 def test_of_a_batch_that_was_torn_anywhere_nothing_is_taken(tmp_path):
     f = filled(tmp_path, 2)
     whole = open(f, "rb").read()
-    batch = record_framing.encode_batch([journal.encode(r) for r in entries(3, 3)])
+    batch = record_framing.encode_batch([record_framing.encode(r) for r in entries(3, 3)])
     for cut in range(len(batch)):
         for torn in (batch[:cut], bytes(cut) + batch[cut:]):
             open(f, "wb").write(whole + torn)
@@ -77,14 +78,14 @@
 def test_a_log_of_single_frames_and_the_files_of_format_1_still_open(tmp_path):
     filled(tmp_path)
     with open(tmp_path / "journal.1", "ab") as f:
-        f.write(b"".join(journal.encode(r) for r in entries(2, 6)))
+        f.write(b"".join(record_framing.encode(r) for r in entries(2, 6)))
     _as_format_1(tmp_path, seat="s0", founders=["a:1", "b:1"])
     for _ in range(2):
         d, got = disk(tmp_path)
         d.close()
         assert [e.index for e in got.ok_value.held.uncommitted] == [1, 2, 3, 4, 5, 6, 7]
         assert got.ok_value.identity == member_identity.Identity("s0", ("a:1", "b:1"))
-        assert not got.ok_value.new_seat
+        assert not got.ok_value.is_new_member
     assert json.load(open(tmp_path / "current"))["format"] == 2
 
 
@@ -101,17 +102,17 @@
     _as_format_1(tmp_path, seat=None, founders=["a:1"])
     d, got = disk(tmp_path)
     d.close()
-    assert got.ok_value.new_seat and got.ok_value.identity == member_identity.Identity("s1")
+    assert got.ok_value.is_new_member and got.ok_value.identity == member_identity.Identity("s1")
     assert len(got.ok_value.held.uncommitted) == 5
-    again = journal.Disk(str(tmp_path), "l").open(member_identity.Identity("s2", ("a:1",)))
-    assert again.ok_value.identity == member_identity.Identity("s1") and not again.ok_value.new_seat
+    again = member_disk.Disk(str(tmp_path), "l").open(member_identity.Identity("s2", ("a:1",)))
+    assert again.ok_value.identity == member_identity.Identity("s1") and not again.ok_value.is_new_member
 
 
 def test_a_folder_that_lost_current_is_no_founder(tmp_path):
     filled(tmp_path)
     os.remove(tmp_path / "current")
-    got = journal.Disk(str(tmp_path), "l").open(member_identity.Identity("s2", ("a:1",)))
-    assert got.ok_value.held is None and got.ok_value.new_seat
+    got = member_disk.Disk(str(tmp_path), "l").open(member_identity.Identity("s2", ("a:1",)))
+    assert got.ok_value.held is None and got.ok_value.is_new_member
     assert got.ok_value.identity == member_identity.Identity("s2")
 
 
@@ -120,7 +121,7 @@
     for name in ("snap.7.dat", "snap.7.bak", "journal.7", "seat", "founders"):
         (tmp_path / name).write_text("old")
     d, _ = disk(tmp_path)
-    d.write([], journal.empty())
+    d.write([], snapshot_store.Snapshot())
     d.close()
     assert sorted(os.listdir(tmp_path)) == ["current", "journal.2", "snap.2.bak", "snap.2.dat", "snap.2.dir"]
 
@@ -168,7 +169,7 @@
 
     monkeypatch.setattr(os, "rename", cut)
     try:
-        d.write([], journal.empty())
+        d.write([], snapshot_store.Snapshot())
     except OSError:
         pass
     monkeypatch.undo()
@@ -199,7 +200,7 @@
 @hypothesis.settings(derandomize=True, deadline=None, max_examples=200)
 @hypothesis.given(st.integers(1, 6), st.integers(0, 400))
 def test_cut_anywhere_a_journal_gives_a_prefix(n, cut):
-    raw = b"".join(journal.encode(r) for r in entries(n))
+    raw = b"".join(record_framing.encode(r) for r in entries(n))
     got = record_framing.scan(raw[: min(cut, len(raw))]).ok_value
     assert list(got.records) == entries(n)[: len(got.records)] and got.length <= cut
     assert len(got.records) == n or cut < len(raw)
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -6,7 +6,8 @@
 import basaltport.configuration.check as check
 import basaltport.configuration.rules as rules
 import basaltport.frames as frames
-import basaltport.consensus.journal as journal
+import basaltport.consensus.storage.record_framing as record_framing
+import basaltport.consensus.storage.snapshot_store as snapshot_store
 import basaltport.consensus.log as log
 import basaltport.consensus.state_machine as state_machine
 import basaltport.identifiers as identifiers
@@ -39,8 +40,8 @@
     for n in range(5):
         age, g = identifiers.Millis(0), identifiers.Term()
         frames.pack(messages.Beat(g, "s", "n", "a", n, 1, g, g, 1, [e], held, age, n))
-    journal.encode(log.EntryRecord(e))
-    journal.parts(journal.Snapshot(held))
+    record_framing.encode(log.EntryRecord(e))
+    snapshot_store.encode(snapshot_store.Snapshot(held))
     assert sum(made) == 1
 
 
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -6,9 +6,10 @@
 import pytest
 
 import basaltport.consensus.codec as codec
-import basaltport.consensus.journal as journal
-import basaltport.consensus.member_identity as member_identity
-import basaltport.consensus.record_framing as record_framing
+import basaltport.consensus.storage.member_disk as member_disk
+import basaltport.consensus.storage.snapshot_store as snapshot_store
+import basaltport.consensus.storage.member_identity as member_identity
+import basaltport.consensus.storage.record_framing as record_framing
 import basaltport.consensus.state_machine as state_machine
 import basaltport.controller.messages as controller_messages
 import basaltport.fleet.messages as fleet_messages
@@ -39,7 +40,7 @@
 
 def opened(path):
     """What a start reads back."""
-    disk = journal.Disk(str(path), stored_forms.MEMBER)
+    disk = member_disk.Disk(str(path), stored_forms.MEMBER)
     got = disk.open(SOMEBODY_NEW)
     disk.close()
     return got.ok_value
@@ -47,7 +48,7 @@
 
 def documents_of(recovered):
     """State, entries not known to be agreed, and the vote, as they are stored."""
-    return {**codec.encode_copy(recovered.held), "promised": list(recovered.promised)}
+    return {**codec.encode_copy(recovered.held), "promised": list(recovered.current_term)}
 
 
 def tip_of(recovered):
@@ -79,7 +80,7 @@
 def test_a_folder_of_an_earlier_release_opens_to_its_state(name, tmp_path):
     expected = expected_of(name)
     got = opened(copied(name, tmp_path / "folder"))
-    assert got.identity == OWN and not got.new_seat
+    assert got.identity == OWN and not got.is_new_member
     last = expected["steps"][-1]
     assert in_order(documents_of(got)) == in_order({k: last[k] for k in ("book", "tail", "promised")})
     if expected["tip"] is not None:
@@ -107,9 +108,9 @@
     log.write_bytes(b"")
     number = log.suffix[1:]
     before = {end: (path / f"snap.{number}.{end}").read_bytes() for end in ("dat", "dir")}
-    disk = journal.Disk(str(path), stored_forms.MEMBER)
+    disk = member_disk.Disk(str(path), stored_forms.MEMBER)
     recovered = disk.open(SOMEBODY_NEW).ok_value
-    disk.write([], journal.Snapshot(recovered.held, recovered.promised))
+    disk.write([], snapshot_store.Snapshot(recovered.held, recovered.current_term))
     disk.close()
     assert before == {end: (path / f"snap.{disk.number}.{end}").read_bytes() for end in ("dat", "dir")}
 
@@ -132,7 +133,7 @@
     (path / "seat").write_text("first-1\n")
     (path / "founders").write_text(json.dumps(FOUNDERS))
     got = opened(path)
-    assert got.identity == OWN and not got.new_seat
+    assert got.identity == OWN and not got.is_new_member
     assert documents_of(got)["tail"] == expected_of("all_in_log")["steps"][-1]["tail"]
     assert json.loads((path / "current").read_text())["format"] == member_identity.FORMAT
 
--- a/tests/test_virtual_disk.py
+++ b/tests/test_virtual_disk.py
@@ -2,7 +2,7 @@
 
 import random
 
-import basaltport.consensus.journal as journal
+import basaltport.consensus.storage.snapshot_store as snapshot_store
 import basaltport.identifiers as identifiers
 import basaltport.simulation.virtual_disk as virtual_disk
 import tests.crash_states as crash_states
@@ -94,4 +94,4 @@
 
 def test_an_empty_disk_gives_back_that_nothing_was_promised():
     held, promised = virtual_disk.VirtualDisk(random.Random(1)).load().ok_value
-    assert held == journal.empty().held and promised == identifiers.Term()
+    assert held == snapshot_store.Snapshot().held and promised == identifiers.Term()
