--- a/basaltport/simulation/query_api/checks/agreed.py
+++ b/basaltport/simulation/query_api/checks/agreed.py
@@ -137,7 +137,7 @@
     """Each acknowledged change of any verb is in the final state and does what it says; no refused one is."""
     if state is None:
         return []
-    changes: dict[str, int] = state["changes"]
+    changes: dict[str, int] = state.recent_changes
     kept_all = len(changes) < CHANGES_KEPT
     found = []
     for change, version in acknowledged.items():
@@ -160,10 +160,10 @@
             continue
         later = [asked[other] for other, newer in changes.items() if newer > version and other in asked]
         if ask.verb == "leaving" and not any(other.verb == "platform" for other in later):
-            if ask.replica not in state["leaving"]:
+            if ask.replica not in state.leaving_replicas:
                 found.append(("acknowledged", f"{change} is in the state, its mark on {ask.replica} is not"))
         if ask.verb in ("drain", "undrain") and not any(other.zone == ask.zone for other in later):
-            if (ask.zone in state["drains"]) != (ask.verb == "drain"):
+            if (ask.zone in state.evacuated_zones) != (ask.verb == "drain"):
                 text = f"{change} is in the state, zone {ask.zone} is not as it says"
                 found.append(("acknowledged", text))
     return found
--- a/basaltport/simulation/query_api/scenarios/notice.py
+++ b/basaltport/simulation/query_api/scenarios/notice.py
@@ -108,7 +108,7 @@
 def zone_owners(leader: world_base.Node) -> list[str]:
     """The members that own a zone, in the order of the zones."""
     state = leader.member.book
-    return [role["owner"] for _, role in sorted(state["duties"].items())]
+    return [role.owner for _, role in sorted(state.role_owners.items())]
 
 
 @scenario()
@@ -140,8 +140,8 @@
 
 def owner_names(leader: world_base.Node) -> list[str]:
     """The names of the members that own a zone."""
-    members = leader.member.book["roster"]
-    return [members[owner]["name"] for owner in zone_owners(leader) if owner in members]
+    members = leader.member.book.members
+    return [members[owner].name for owner in zone_owners(leader) if owner in members]
 
 
 class RoleChoice(typing.NamedTuple):
--- a/basaltport/simulation/routes/fleet_world.py
+++ b/basaltport/simulation/routes/fleet_world.py
@@ -229,14 +229,14 @@
 
     def differs(self, node: nodes.Node, state: nodes.AgreedState) -> None:
         """What is agreed differs: a finding of the checks."""
-        self.record(process_rows.Differs, node.name, int(state["serial"]))
+        self.record(process_rows.Differs, node.name, int(state.log_index))
 
     def step(self, node: nodes.Node, event: processes.Event) -> None:
         """After each step of a proxy: which configuration it has."""
         super().step(node, event)
         if node.name[0] != "p" or node.member is None:
             return
-        shown = node.member.book["manifest"]
+        shown = node.member.book.configuration
         if shown is not self.shown_document.get((node.name, node.incarnation)):
             self.shown_document[node.name, node.incarnation] = shown
             edition, change = shown["edition"], shown["by"]
--- a/basaltport/simulation/routes/nodes.py
+++ b/basaltport/simulation/routes/nodes.py
@@ -206,7 +206,7 @@
         """One step of a reducer, with its effects; then the state that it agreed to is checked."""
         if node.member is None:
             return
-        was = node.member.book["serial"]
+        was = node.member.book.log_index
         self.carry_out(node, node.member.step(event))
         if node.member is not None:
             self.look(node, was)
@@ -217,13 +217,18 @@
         if state is node.book:
             return
         node.book = state
-        key = (tuple(state["gen"]), str(state["manifest"]), sorted(state["drains"]), sorted(state["roster"]))
-        if state["serial"] < was or self.agreed.setdefault(state["serial"], key) != key:
+        key = (
+            tuple(state.term),
+            str(state.configuration),
+            sorted(state.evacuated_zones),
+            sorted(state.members),
+        )
+        if state.log_index < was or self.agreed.setdefault(state.log_index, key) != key:
             self.differs(node, state)
 
     def differs(self, node: Node, state: AgreedState) -> None:
         """A process agreed to another state than others did, or to an older one than before."""
-        raise AssertionError((node.name, state["serial"]))
+        raise AssertionError((node.name, state.log_index))
 
     def controllers(self) -> list[Node]:
         """Controllers that run."""
@@ -244,7 +249,7 @@
         """Names of all that vote; while a member takes another's place, both."""
         leader = self.leader()
         assert leader is not None
-        return sorted(record["name"] for record in quorum.voters(self.nodes[leader].member.book).values())
+        return sorted(record.name for record in quorum.voters(self.nodes[leader].member.book).values())
 
     def settled(self, *names: str) -> bool:
         """Whether there is a leader whose agreed members are of these names, all of which run here, and no
@@ -253,10 +258,10 @@
         if leader is None:
             return False
         state = self.nodes[leader].member.book
-        if "former" in state:
+        if state.former_members is not None:
             return False
         member_ids = {node.seat for node in self.nodes.values()}
-        return self.roster() == sorted(names) and state["roster"].keys() <= member_ids
+        return self.roster() == sorted(names) and state.members.keys() <= member_ids
 
     # links
 
