--- a/basaltport/query_api/admin/leader_requests.py
+++ b/basaltport/query_api/admin/leader_requests.py
@@ -82,11 +82,11 @@
     def propose(self, src: str | None, call: str, verb: str, body: Document) -> None:
         """Propose a change, or wait for the entry of the same change id."""
         state = self.tip_book
-        change = body.get("change")
+        change: str | None = body.get("change")
         waiting: Document = {"src": src, "call": call, "change": change, "committed": None}
-        if change in state["changes"]:
-            waiting["serial"] = state["changes"][change]
-            waiting["committed"] = self.now if waiting["serial"] <= self.book["serial"] else None
+        if change is not None and change in state.recent_changes:
+            waiting["serial"] = state.recent_changes[change]
+            waiting["committed"] = self.now if waiting["serial"] <= self.book.log_index else None
             self.waiting.append(waiting)
             self.waiting.sort(key=lambda row: row["serial"])
             self.settle()
@@ -123,7 +123,7 @@
         changes = body.get("patch")
         if not isinstance(changes, dict):
             return refused("", "a merge patch is an object")
-        merged = patch.merge(state["manifest"] or {}, changes)
+        merged = patch.merge(state.configuration or {}, changes)
         return self.manifest_op(state, body, merged, {"op": "patch", "patch": changes})
 
     def manifest_op(
@@ -131,12 +131,12 @@
     ) -> Operation:
         """The operation, unless the manifest is at another version than the change is for, or is faulty."""
         version = body.get("if_serial")
-        if version is not None and version != state["mserial"]:
+        if version is not None and version != state.configuration_version:
             finding = f"the manifest is at serial {state['mserial']}, not {version}"
             return refused("if_serial", finding, http.HTTPStatus.CONFLICT)
         if body.get("checked"):
             return operation
-        checked = check.manifest(manifest, state["manifest"])
+        checked = check.manifest(manifest, state.configuration)
         if isinstance(checked, result.Err):
             return Refused(http.HTTPStatus.UNPROCESSABLE_ENTITY, checked.err_value)
         return operation
@@ -144,7 +144,7 @@
     def zone_operation(self, state: state_machine.ClusterState, body: Document, name: str) -> Operation:
         """An operation on a zone of the manifest."""
         zone = body.get("zone")
-        if zone not in ((state["manifest"] or {}).get("zones") or {}):
+        if zone not in ((state.configuration or {}).get("zones") or {}):
             return refused("zone", f"no zone {zone!r} in the manifest")
         return {"op": name, "zone": zone}
 
@@ -159,7 +159,7 @@
     def leaving_operation(self, state: state_machine.ClusterState, body: Document) -> Operation:
         """A replica is leaving."""
         replica = body.get("replica")
-        if replica not in state["platform"]:
+        if replica not in state.listed_replicas:
             return refused("replica", f"no replica {replica!r} in the list")
         return {"op": "leaving", "replica": replica}
 
@@ -205,7 +205,7 @@
 
     def read_show(self) -> Document:
         """The manifest and its version."""
-        return {"serial": self.book["mserial"], "manifest": self.book["manifest"]}
+        return {"serial": self.book.configuration_version, "manifest": self.book.configuration}
 
     def read_history(self) -> Document:
         """The last changes."""
@@ -213,8 +213,8 @@
 
     def read_change(self, change: object) -> tuple[int, Document]:
         """What became of a change."""
-        changes = self.book["changes"]
-        if change in changes:
+        changes = self.book.recent_changes
+        if isinstance(change, str) and change in changes:
             body = {"outcome": "acknowledged", "serial": changes[change], "change": change}
             return http.HTTPStatus.OK, body
         return http.HTTPStatus.NOT_FOUND, {"outcome": "unheard", "change": change}
@@ -222,19 +222,19 @@
     def read_status(self) -> Document:
         """How the cluster stands."""
         state = self.book
-        members = state["roster"]
+        members = state.members
         return {
-            "serial": state["serial"],
-            "manifest_serial": state["mserial"],
+            "serial": state.log_index,
+            "manifest_serial": state.configuration_version,
             "generation": list(state.term),
             "leader": self.me.name,
             "seats": len(members),
-            "ledgers": len(state["ledgers"]),
-            "drains": sorted(state["drains"]),
-            "leaving": sorted(state["leaving"]),
+            "ledgers": len(state.disk_members),
+            "drains": sorted(state.evacuated_zones),
+            "leaving": sorted(state.leaving_replicas),
             "duties": {
-                role: members.get(owner["owner"], {}).get("name", "lost")
-                for role, owner in state["duties"].items()
+                role: members[owner.owner].name if owner.owner in members else "lost"
+                for role, owner in state.role_owners.items()
             },
             "digest": codec.digest(state),
         }
@@ -242,14 +242,14 @@
     def read_members(self) -> Document:
         """The members, and how far each has applied the log."""
         rows = []
-        by_name = sorted(self.book["roster"].items(), key=lambda item: item[1]["name"])
+        by_name = sorted(self.book.members.items(), key=lambda item: item[1].name)
         for member_id, row in by_name:
             heartbeat = self.echoes.get(member_id)
             rows.append(
                 {
-                    **row,
+                    **codec.encode_member(row),
                     "live": self.quiet(member_id) < LIVE_WITHIN_MS,
-                    "ledger": member_id in self.book["ledgers"],
+                    "ledger": member_id in self.book.disk_members,
                     "applied": heartbeat[2] if heartbeat else 0,
                 }
             )
@@ -258,17 +258,19 @@
     def read_replicas(self) -> Document:
         """The replicas and what they hold."""
         rows = []
-        for name, row in sorted(self.book["platform"].items()):
-            marks = {"draining": row["zone"] in self.book["drains"], "leaving": name in self.book["leaving"]}
-            rows.append({"replica": name, **row, **marks, **self.replica_row(row["zone"], name)})
+        for name, row in sorted(self.book.listed_replicas.items()):
+            listed = {"replica": name, "url": row.url, "zone": row.zone, "group": row.group}
+            is_evacuated = row.zone in self.book.evacuated_zones
+            marks = {"draining": is_evacuated, "leaving": name in self.book.leaving_replicas}
+            rows.append({**listed, **marks, **self.replica_row(row.zone, name)})
         return {"replicas": rows}
 
     def read_placement(self) -> Document:
         """Where each item is."""
         placement: dict[str, list[Document]] = {}
-        for name, row in sorted(self.book["platform"].items()):
-            held = self.replica_row(row["zone"], name).get("held", {})
+        for name, row in sorted(self.book.listed_replicas.items()):
+            held = self.replica_row(row.zone, name).get("held", {})
             for item, state in sorted(held.items()):
-                holder = {"replica": name, "zone": row["zone"], "state": state}
+                holder = {"replica": name, "zone": row.zone, "state": state}
                 placement.setdefault(item, []).append(holder)
         return {"placement": placement}
--- a/basaltport/query_api/failure_detection/role_owners.py
+++ b/basaltport/query_api/failure_detection/role_owners.py
@@ -5,6 +5,7 @@
 
 import typing
 
+import basaltport.consensus.log as log
 import basaltport.consensus.state_machine as state_machine
 import basaltport.consensus.voting_policy as voting_policy
 import basaltport.identifiers as identifiers
@@ -26,15 +27,15 @@
     return ZONE_ROLE_PREFIX + zone
 
 
-def all_roles(manifest: Row | None) -> list[str]:
+def all_roles(configuration: log.Document | None) -> list[str]:
     """All singleton roles: one for each zone, and the weight store's."""
-    return [zone_role(zone) for zone in sorted((manifest or {}).get("zones", {}))] + [STORE_ROLE]
+    return [zone_role(zone) for zone in sorted((configuration or {}).get("zones", {}))] + [STORE_ROLE]
 
 
-def choose_owner(role: str, live: list[Row]) -> str:
+def choose_owner(role: str, live: list[log.MemberRecord]) -> str:
     """The member id of the owner: of the highest weight among the live nodes, the zone's own nodes first."""
-    local = [row for row in live if zone_role(row["zone"]) == role]
-    owner: str = max(local or live, key=lambda row: rendezvous.weight(role, row["name"]))["seat"]
+    local = [row for row in live if zone_role(row.zone) == role]
+    owner: str = max(local or live, key=lambda row: rendezvous.weight(role, row.name)).member_id
     return owner
 
 
@@ -88,12 +89,12 @@
         ):
             return
         state = self.tip_book
-        if state["manifest"] is None:
+        if state.configuration is None:
             return
-        live = [row for member_id, row in state["roster"].items() if self.may_own(member_id, row)]
+        live = [row for member_id, row in state.members.items() if self.may_own(member_id, row)]
         if not live:
             return
-        roles = all_roles(state["manifest"])
+        roles = all_roles(state.configuration)
         owners = {role: choose_owner(role, live) for role in roles if self.lacks_owner(state, role)}
         if owners:
             self.propose_owners(owners, set(roles))
@@ -107,21 +108,21 @@
         self.append(operation)
         self.fresh = False
 
-    def may_own(self, member_id: str, row: Row) -> bool:
+    def may_own(self, member_id: str, row: log.MemberRecord) -> bool:
         """Whether a member may be given roles."""
-        is_query_node = bool(row["role"] == "rostrum")
+        is_query_node = bool(row.role == "rostrum")
         return is_query_node and self.quiet(member_id) < SUSPECTED_AFTER_MS and member_id not in self.left
 
     def lacks_owner(self, state: state_machine.ClusterState, role: str) -> bool:
         """Whether a role has no owner, or one that is lost."""
-        owner = state["duties"].get(role)
-        return not owner or self.is_lost(owner["owner"])
+        owner = state.role_owners.get(role)
+        return not owner or self.is_lost(owner.owner)
 
     def is_lost(self, member_id: str) -> bool:
         """Never before its lease expired; soon where watchers miss it too, later on the leader alone."""
         if self.now < self.lapse.get(member_id, 0):
             return False
-        if member_id not in self.tip_book["roster"] or member_id in self.left:
+        if member_id not in self.tip_book.members or member_id in self.left:
             return True
         silent_ms = self.quiet(member_id)
         if silent_ms >= LOST_AFTER_MS:
--- a/basaltport/query_api/query_node.py
+++ b/basaltport/query_api/query_node.py
@@ -31,6 +31,8 @@
 NO_VERSION = -1
 LONG_AGO = -(10**9)
 
+Document = dict[str, typing.Any]
+
 
 class QueryNode(
     admission.AdmissionMixin,
@@ -72,7 +74,7 @@
         node.FollowerNode.__init__(self, me, seed, now, voting_policy.ALL_MEMBERS)
         self.rules = rules.compile(None, 0)
         self.rules_version = NO_VERSION
-        self.compiled_from: dict[str, typing.Any] | None = None
+        self.compiled_from: Document | None = None
         self.requests: dict[str, request.Request] = {}
         self.queues = queues.Queues()
         self.outcome_counts: collections.Counter[str] = collections.Counter()
@@ -94,9 +96,9 @@
 
     def use_agreed_state(self) -> None:
         """Newer agreed state is in force here: compile its configuration, take over zones and keys."""
-        version = self.book["mserial"]
+        version = self.book.configuration_version
         if version != self.rules_version:
-            configuration = self.book["manifest"]
+            configuration = typing.cast(Document | None, self.book.configuration)
             self.rules = rules.compile(configuration, version, self.compiled_from, self.rules)
             self.compiled_from = configuration
             self.rules_version = version
@@ -137,8 +139,8 @@
     def tick_hints(self) -> None:
         """Hints go once the agreed state has them, or proved not to come to have them."""
         for replica_id, heard_at in list(self.leaving_hints.items()):
-            if replica_id in self.book["leaving"] or self.now - heard_at > HINT_VALID_MS:
+            if replica_id in self.book.leaving_replicas or self.now - heard_at > HINT_VALID_MS:
                 del self.leaving_hints[replica_id]
         for zone, heard_at in list(self.evacuation_hints.items()):
-            if zone in self.book["drains"] or self.now - heard_at > HINT_VALID_MS:
+            if zone in self.book.evacuated_zones or self.now - heard_at > HINT_VALID_MS:
                 del self.evacuation_hints[zone]
--- a/basaltport/query_api/query_proxy/admission.py
+++ b/basaltport/query_api/query_proxy/admission.py
@@ -130,8 +130,8 @@
 
     def query_nodes(self) -> list[str]:
         """The member ids of all query nodes in the agreed state."""
-        members = self.book["roster"].items()
-        return [member_id for member_id, row in members if row["role"] == "rostrum"]
+        members = self.book.members.items()
+        return [member_id for member_id, row in members if row.role == "rostrum"]
 
     def pool_of(self, queue: str) -> str:
         """The pool of a queue, or "" for an unknown one."""
