--- a/basaltport/text.py
+++ b/basaltport/text.py
@@ -4,38 +4,40 @@
 import json
 
 HEAVY = ("book", "op", "tail", "manifest", "entry")
-LARGE = 1 << 16
-KEEP = 4
+LARGE_BYTES = 1 << 16
+MOST_KEPT = 4
 SCALAR_SIZE = 8
 OVERHEAD = 64
 
 _made: dict[int, tuple[object, bytes]] = {}
 
 
-def plain(doc: object) -> bytes:
+def plain(document: object) -> bytes:
     """The compact JSON of a document."""
-    return json.dumps(doc, separators=(",", ":")).encode()
+    return json.dumps(document, separators=(",", ":")).encode()
 
 
-def _once(doc: object) -> bytes:
-    got = _made.get(id(doc))
-    if got is not None and got[0] is doc:
+def _once(document: object) -> bytes:
+    got = _made.get(id(document))
+    if got is not None and got[0] is document:
         return got[1]
-    raw = plain(doc)
-    if len(raw) >= LARGE:
-        while len(_made) >= KEEP:
+    raw = plain(document)
+    if len(raw) >= LARGE_BYTES:
+        while len(_made) >= MOST_KEPT:
             del _made[next(iter(_made))]
-        _made[id(doc)] = doc, raw
+        _made[id(document)] = document, raw
     return raw
 
 
-def dumps(doc: object) -> bytes:
+def dumps(document: object) -> bytes:
     """The same bytes as `plain`, made of parts wherever a manifest may stand."""
-    if type(doc) is list and doc and type(doc[0]) is dict and "op" in doc[0]:
-        return b"[" + b",".join(dumps(x) for x in doc) + b"]"
-    if type(doc) is not dict or not any(k in doc for k in HEAVY):
-        return plain(doc)
-    return b"{" + b",".join(plain(k) + b":" + _part(k, v) for k, v in doc.items()) + b"}"
+    if type(document) is list and document and type(document[0]) is dict and "op" in document[0]:
+        return b"[" + b",".join(dumps(entry) for entry in document) + b"]"
+    if type(document) is not dict or not any(k in document for k in HEAVY):
+        return plain(document)
+    return (
+        b"{" + b",".join(plain(name) + b":" + _part(name, value) for name, value in document.items()) + b"}"
+    )
 
 
 def size_of_configuration(configuration: object) -> int:
@@ -43,5 +45,5 @@
     return len(_once(configuration))
 
 
-def _part(k: str, v: object) -> bytes:
-    return _once(v) if k == "manifest" else dumps(v)
+def _part(name: str, value: object) -> bytes:
+    return _once(value) if name == "manifest" else dumps(value)
