--- a/basaltport/consensus/discovery.py
+++ b/basaltport/consensus/discovery.py
@@ -85,7 +85,7 @@
             if r["name"] != self.me.name and r["name"] not in self.members:
                 self.members[r["name"]] = {**r, "at": self.now - HEARSAY}
         if self.policy.joint_consensus:
-            self.gone.pop(m.seat, None)
+            self.see_return(m.seat)
             self.pass_on(m, old)
 
     def pass_on(self, m, old):
--- a/basaltport/consensus/leaving.py
+++ b/basaltport/consensus/leaving.py
@@ -57,7 +57,8 @@
         self.learners.pop(m.seat, None)
 
     def see_return(self, s):
-        """One that acknowledges long after it said that it leaves has come back."""
+        """One that acknowledges or says hello long after it said that it leaves has come back. What it sent
+        before may come later than its leave."""
         if self.now - self.gone.get(s, self.now) > timing.LEFT:
             del self.gone[s]
 
--- a/basaltport/consensus/timing.py
+++ b/basaltport/consensus/timing.py
@@ -59,7 +59,7 @@
 """A member that was not heard for so long may be replaced or dropped."""
 
 LEFT = 1000
-"""A member that said it leaves and acknowledges again this much later has come back."""
+"""A member that said it leaves and acknowledges or says hello this much later has come back."""
 
 LEAVE_AGAIN = 300
 """A leaving member says so again this often while it waits to be removed."""
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,5 +1,6 @@
 """Changes of the roster: members replaced while they live, losses beside a change, leases across restarts."""
 
+import copy
 import pathlib
 
 import pytest
@@ -61,6 +62,38 @@
     assert not leader.lost_seat(seat)
 
 
+def test_a_hello_that_comes_after_the_leave_it_was_sent_before_brings_nobody_back():
+    """The fourth member stops and is removed; hellos of before come until its process has ended."""
+    w = world(4, 3)
+    w.add("new")
+    w.boot("new")
+    w.run(6000)
+    old = next(k for k in others(w) if k != "new")
+    seat, released = w.nodes[old].seat, w.nodes[old].member.released
+    hello = w.nodes[old].member.hello([])
+    w.ask_to_stop(w.nodes[old])
+    leader = w.nodes[w.leader()].member
+    assert w.until(lambda: seat in leader.gone, 100) is not None
+    while not released():
+        leader.step(events.Heard(w.now, "", copy.copy(hello)))
+        w.run(20)
+    leader.step(events.Heard(w.now, "", copy.copy(hello)))
+    w.kill(old)
+    w.run(timing.RESPONSIVE)
+    assert w.leader() and seat not in quorum.voters(leader.tip_book)
+
+
+def test_one_that_is_back_with_its_seat_soon_after_it_left_gets_it_again():
+    w = world(4, 3)
+    w.add("new")
+    w.boot("new")
+    w.run(6000)
+    old = next(k for k in others(w) if k != "new")
+    w.stop(old)
+    w.boot(old)
+    assert w.until(lambda: w.settled("k1", "k2", "k3", "new"), 4000) is not None
+
+
 def different(edition):
     return {**controllers.document(edition), "limits": {**controllers.LIMITS, "body_bytes": 1_000_000}}
 
