--- a/basaltport/consensus/membership.py
+++ b/basaltport/consensus/membership.py
@@ -10,10 +10,11 @@
 
 
 class MembershipMixin:
-    """`learners`: rows by seat of those that are fed but do not vote."""
+    """`learners`: rows by seat of those that are fed but do not vote; `learning_since`: when each came."""
 
     def clear_learners(self):
         self.learners = {}
+        self.learning_since = {}
 
     def learn(self):
         """Members that said hello lately and do not vote yet are fed the log."""
@@ -23,6 +24,7 @@
         heard = self.heard_within(timing.LEARNER)
         fresh = {m["seat"]: m for m in heard if m["role"] == discovery.DISK_ROLE}
         self.learners = {s: m for s, m in fresh.items() if s not in voters and s not in self.gone}
+        self.learning_since = {s: self.learning_since.get(s, self.now) for s in self.learners}
         self.needs |= {s for s in self.learners if s not in self.match and s not in self.sent}
 
     def keep_roster(self):
@@ -69,12 +71,19 @@
             return False
         row = self.learners[s]
         old = self.replaced_by(row, roster)
-        if old is None and any(self.quiet(x) > timing.RESPONSIVE for x in roster):
+        if old is None and not self.may_join_beside(s, roster):
             return False
         self.note(16, member=row["name"], seat=s)
         self.append({"op": "joint", "drops": [old] if old else [], "adds": [row]})
         return True
 
+    def may_join_beside(self, s, roster):
+        """Whether no seat may be lost. Beside an odd number a majority takes one more: there the new one has
+        to be known for as long as a lost seat may go unnoticed, or the loss of both could not be borne."""
+        if any(self.quiet(x) > timing.RESPONSIVE for x in roster):
+            return False
+        return len(roster) % 2 == 0 or self.now - self.learning_since[s] >= timing.SILENT
+
     def replaced_by(self, row, roster):
         """The seat whose place a new member takes, or None: the one at its address, whose process is no
         more, else of the lost ones the one of its name first."""
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -159,6 +159,19 @@
     assert w.must(2, 1, 4000) is not None
 
 
+@pytest.mark.parametrize("after", range(100, 2000, 200))
+def test_a_successor_lost_again_before_its_predecessor_counts_as_lost_leaves_a_majority(after):
+    """Two of the three live all the time; the third machine and its successor are both gone."""
+    w = world(after, 3)
+    w.kill(others(w)[0], power=True)
+    w.run(50)
+    w.add("new")
+    w.boot("new")
+    w.run(after)
+    w.kill("new", power=True)
+    assert w.must(2, 1, 6000) is not None
+
+
 @pytest.mark.parametrize("members", [3, 5])
 @pytest.mark.parametrize("how", ["both", "in", "out", "late"])
 def test_no_two_members_hold_at_once_when_a_leader_is_cut_off(members, how):
