--- a/basaltport/consensus/leaving.py
+++ b/basaltport/consensus/leaving.py
@@ -12,11 +12,16 @@
     return live - seats // 2 - 1
 
 
-def worth_dropping(seats, live):
-    """Whether some of the seats that are not live can go, one by one, so that more losses are borne, and
-    LEAST seats are left."""
+def seats_to_drop(seats, live):
+    """How many of the seats that are not live go, so that the most losses are borne with LEAST seats left:
+    as few as will do for that, and none where nothing is gained."""
     most = min(seats - live, seats - LEAST)
-    return any(spare(seats - n, live) > spare(seats, live) for n in range(1, most + 1))
+    return max(range(max(most, 0) + 1), key=lambda n: (spare(seats - n, live), -n))
+
+
+def worth_dropping(seats, live):
+    """Whether more losses are borne without some of the seats that are not live."""
+    return seats_to_drop(seats, live) > 0
 
 
 class LeavingMixin:
--- a/basaltport/consensus/membership.py
+++ b/basaltport/consensus/membership.py
@@ -34,8 +34,8 @@
         self.take_all_members()
 
     def change_one_member(self):
-        """Ends a joint change; new rows of known seats; then a seat that has caught up; then one less that is
-        silent. Until a change of seats is agreed both rosters decide. Majorities of rosters one seat apart
+        """Ends a joint change; new rows of known seats; then a seat that has caught up; then less by the lost
+        ones. Until a change of seats is agreed both rosters decide. Majorities of rosters one seat apart
         meet, but half of one, which elects with proof of lost disks (`attested`), may miss a majority of the
         other."""
         # M8: one change at a time, each committed before the next; M4: by a leader that holds its lease.
@@ -49,7 +49,7 @@
             if m["seat"] in roster and roster[m["seat"]] != m:
                 self.append({"op": "roster", "add": m})
                 return
-        self.add_seat(roster) or self.drop_seat(roster)
+        self.add_seat(roster) or self.drop_seats(roster)
 
     def quiet(self, s):
         """Milliseconds since a seat was last heard, as far as this leader could hear it."""
@@ -101,15 +101,18 @@
         return leaves or self.quiet(s) > timing.SILENT
 
     def drop_order(self, s):
-        """Those that said so go first, then the one heard of longest ago."""
-        return s not in self.gone, self.acks.get(s, self.since), s
-
-    def drop_seat(self, roster):
-        """Lost seats go, one at a time, where without them more losses are borne."""
-        lost = [s for s in roster if self.lost_seat(s)]
-        if not lost or not leaving.worth_dropping(len(roster), len(roster) - len(lost)):
+        """The one heard of longest ago goes first: one that said that it leaves still votes, which the others
+        may need to agree that one less votes."""
+        return self.acks.get(s, self.since), s
+
+    def drop_seats(self, roster):
+        """Lost seats go where without them more losses are borne, all in one joint change: with one less at a
+        time, majorities on the way would need more of those that are left."""
+        lost = sorted((s for s in roster if self.lost_seat(s)), key=self.drop_order)
+        drops = lost[: leaving.seats_to_drop(len(roster), len(roster) - len(lost))]
+        if not drops:
             return False
-        s = min(lost, key=self.drop_order)
-        self.note(17, member=roster[s]["name"], seat=s)
-        self.append({"op": "joint", "drops": [s], "adds": []})
+        for s in drops:
+            self.note(17, member=roster[s]["name"], seat=s)
+        self.append({"op": "joint", "drops": drops, "adds": []})
         return True
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -172,6 +172,29 @@
     assert w.must(2, 1, 6000) is not None
 
 
+@pytest.mark.parametrize("back", [0, 1])
+@pytest.mark.parametrize("after", range(1900, 2400, 20))
+def test_a_third_of_five_lost_as_two_are_removed_and_one_of_the_two_back_leaves_a_majority(back, after):
+    w = world(after, 5)
+    lost = others(w)
+    w.kill(lost[0], power=True)
+    w.kill(lost[1], power=True)
+    w.run(after)
+    w.kill(lost[2], power=True)
+    w.run(1000)
+    w.boot(lost[back])
+    assert w.must(2, 1, 6000) is not None
+
+
+def test_whoever_is_silent_is_removed_before_one_that_leaves_and_still_votes():
+    w = world(6, 5)
+    leader = w.nodes[w.leader()].member
+    silent, leaving_one = (w.nodes[k].seat for k in others(w)[:2])
+    leader.acks[silent] = leader.now - timing.SILENT - 1
+    leader.gone[leaving_one] = leader.now
+    assert sorted([leaving_one, silent], key=leader.drop_order) == [silent, leaving_one]
+
+
 @pytest.mark.parametrize("members", [3, 5])
 @pytest.mark.parametrize("how", ["both", "in", "out", "late"])
 def test_no_two_members_hold_at_once_when_a_leader_is_cut_off(members, how):
