--- a/basaltport/consensus/election.py
+++ b/basaltport/consensus/election.py
@@ -4,6 +4,7 @@
 import dataclasses
 import typing
 
+import basaltport.consensus.log as log
 import basaltport.consensus.quorum as quorum
 import basaltport.consensus.timing as timing
 import basaltport.events as events
@@ -200,7 +201,7 @@
         self.promised = term
         self.camp = Candidacy(term, {self.me.seat: self.promise(term, True)}, self.now, self.now)
         # M1: the candidate's own vote is on the disk before it asks for others.
-        self.write([{"promise": list(term)}], then=self.asks())
+        self.write([log.TermRecord(term)], then=self.asks())
         self.note(11, generation=term.text())
 
     def hear_promise(self, src, m):
@@ -226,10 +227,7 @@
         self.weigh()
 
     def is_newer(self, copy):
-        t = (copy.get("tail") or [None])[-1]
-        b = copy["book"]
-        g, s = (t["g"], t["s"]) if t else (b["gen"], b["serial"])
-        return (identifiers.Term(*g), s) > self.head()
+        return (copy.last_term, copy.last_index) > self.head()
 
     # counting them
 
--- a/basaltport/consensus/leadership.py
+++ b/basaltport/consensus/leadership.py
@@ -2,6 +2,7 @@
 entries."""
 
 import basaltport.consensus.book as book
+import basaltport.consensus.log as log
 import basaltport.consensus.quorum as quorum
 import basaltport.consensus.timing as timing
 import basaltport.identifiers as identifiers
@@ -71,12 +72,12 @@
 
     def append(self, op):
         g = self.promised
-        e = book.entry(self.head()[1] + 1, g, op)
+        e = book.entry(self.head()[1] + 1, g, book.operation(op))
         self.tail.append(e)
         self.tip_book = book.apply(self.tip_book, e)
         if self.first is None:
             self.first = e["s"]
-        self.write([{"entry": e}])
+        self.write([log.EntryRecord(e)])
         self.beat_at = -(10**9)
         return identifiers.LogIndex(e["s"])
 
--- a/basaltport/model/troubles.py
+++ b/basaltport/model/troubles.py
@@ -2,8 +2,8 @@
 
 import typing
 
-import basaltport.consensus.book as agreed_state
 import basaltport.consensus.quorum as quorum
+import basaltport.consensus.state_machine as state_machine
 import basaltport.model.schedule as schedule
 import basaltport.model.world as model_world
 
@@ -17,7 +17,6 @@
 HALF_CUT = 2
 ZOMBIE_MS = 10_000
 UP_MS = 4500
-ROSTER_CHANGES = {"joint", "roster"}
 
 
 class Player:
@@ -75,11 +74,11 @@
         """Seats after each change of members that is in a log and not agreed yet."""
         found: list[set[str]] = []
         for node in self.world.controllers():
-            book = node.member.book
+            state = node.member.book
             for entry in node.member.tail:
-                book = agreed_state.apply(book, entry)
-                if entry["s"] > self.world.checks.top and entry["op"]["op"] in ROSTER_CHANGES:
-                    found.append(set(book["roster"]))
+                before, state = state, state_machine.apply(state, entry)
+                if entry.index > self.world.checks.top and state.members.keys() != before.members.keys():
+                    found.append(set(state.members))
         return found
 
     def _node_of(self, slot: int) -> str:
--- a/basaltport/proxy/node.py
+++ b/basaltport/proxy/node.py
@@ -4,6 +4,7 @@
 import copy
 import random
 
+import basaltport.consensus.state_machine as state_machine
 import basaltport.cold_start.decision as cold_start
 import basaltport.events as base
 import basaltport.fleet.follow as follow
@@ -51,7 +52,7 @@
     me: member.Me
     now: identifiers.Millis
     rng: random.Random
-    book: replica_table.FeedRow
+    book: state_machine.ClusterState
     rows: dict[str, replica_table.FeedRow]
 
     def __init__(
--- a/basaltport/query_api/zone_controller/interface.py
+++ b/basaltport/query_api/zone_controller/interface.py
@@ -2,6 +2,7 @@
 
 import typing
 
+import basaltport.consensus.state_machine as state_machine
 import basaltport.configuration.rules as rules
 import basaltport.identifiers as identifiers
 import basaltport.member as member
@@ -18,7 +19,7 @@
 
     me: member.Me
     now: identifiers.Millis
-    book: dict[str, typing.Any]
+    book: state_machine.ClusterState
     rules: rules.Rules
     zones_with: dict[str, set[str]]
     owned_zones: dict[identifiers.Zone, owned_zone.OwnedZone]
--- a/tests/model_mutations.py
+++ b/tests/model_mutations.py
@@ -9,7 +9,9 @@
 import typing
 import unittest.mock
 
-import basaltport.consensus.book as book
+import basaltport.consensus.codec as codec
+import basaltport.consensus.log as log
+import basaltport.consensus.state_machine as state_machine
 import basaltport.consensus.discovery as discovery
 import basaltport.consensus.election as election
 import basaltport.consensus.follower as follower
@@ -23,8 +25,8 @@
 import basaltport.consensus.voter as voter
 import basaltport.fleet.follow as follow
 import basaltport.fleet.publish as publish
-import basaltport.controller.operator_requests as desk
-import basaltport.controller.shard_ownership as duties
+import basaltport.controller.operator_requests as requests
+import basaltport.controller.order_execution as execution
 import basaltport.identifiers as identifiers
 import basaltport.member as member
 import basaltport.model.finding as finding
@@ -161,7 +163,7 @@
 
 def append_over(self, op):
     """In place of an entry of this term that is not agreed yet."""
-    if len(self.tail) > 1 and book.gen_of(self.tail[-1]) == self.promised:
+    if len(self.tail) > 1 and self.tail[-1].term == self.promised:
         self.tail.pop()
     return append_as_is(self, op)
 
@@ -183,21 +185,22 @@
 
 
 def one_roster(b):
-    return [b["roster"].keys()]
+    return [b.members.keys()]
 
 
 def add_in_one_step(self, seats):
     s = min((s for s in self.learners if self.ready(s)), default=None)
     if s is None:
         return False
-    row = self.learners[s]
-    old = [x for x, r in seats.items() if r["name"] == row["name"]]
-    self.append({"op": "roster", "swap": [[old[0], row]]} if old else {"op": "roster", "add": row})
+    row = codec.decode_member(self.learners[s])
+    old = [x for x, r in seats.items() if r.name == row.name]
+    swap = (log.Replacement(old[0], row),) if old else None
+    self.append(log.MembersChanged(swap, None if old else row))
     return True
 
 
 def install_older(self, copy):
-    was, self.book, self.tail = self.book["serial"], copy["book"], list(copy["tail"])
+    was, self.book, self.tail = self.book.log_index, copy.cluster_state, list(copy.uncommitted)
     self.write([], whole=self.copy())
     self.state_applied()
     self.retained_behind(was)
@@ -205,12 +208,12 @@
 
 def feed_old_copies(self, s):
     """Now and then a copy as it was some entries ago."""
-    if self.book["serial"] % 3 == 0 and self.retained:
+    if self.book.log_index % 3 == 0 and self.retained:
         self.needs.add(s)
     es, copy, pg, ps = load_as_is(self, s)
     if copy and getattr(self, "older", None):
         copy = self.older
-    self.older = {"book": self.book, "tail": []}
+    self.older = state_machine.ReplicatedState(self.book)
     return es, copy, pg, ps
 
 
@@ -218,18 +221,15 @@
 
 
 def copy_without_changes(self):
-    return {"book": {**self.book, "changes": {}}, "tail": list(self.tail)}
-
-
-def apply_forgetting(b, op, s):
-    b["changes"] = {op["change"]: s}
+    forgetful = dataclasses.replace(self.book, recent_changes={})
+    return state_machine.ReplicatedState(forgetful, tuple(self.tail))
 
 
 def take_any_book(self, m):
     if m.copy:
-        self.book = {**book.new(), **m.copy}
+        self.book = m.copy
     for e in m.entries:
-        self.book = book.apply(self.book, e)
+        self.book = state_machine.apply(self.book, e)
 
 
 def hear_hello_raises(self, src, m):
@@ -247,7 +247,7 @@
     Mutation(
         "read without a majority's word",
         {Rule.WORD},
-        [(desk.DeskMixin, "confirm", confirm_at_once)],
+        [(requests.OperatorRequestsMixin, "confirm", confirm_at_once)],
         range(1, 9),
     ),
     Mutation(
@@ -353,7 +353,7 @@
     Mutation(
         "change ids forgotten",
         {Rule.REPEAT, Rule.HISTORY},
-        [(book, "_remember", apply_forgetting)],
+        [(state_machine, "_remember", lambda _, op, index: {"recent_changes": {op.change_id: index}})],
         range(1, 60),
     ),
     Mutation(
@@ -369,16 +369,16 @@
     Mutation(
         "change not compared with its base",
         {Rule.HISTORY},
-        [(desk.DeskMixin, "judged", judged_without_base)],
+        [(requests.OperatorRequestsMixin, "judge_change", judged_without_base)],
         range(1, 20),
     ),
     Mutation(
         "orders without a lease",
         {Rule.ORDERS},
         [
-            (duties.ShardOwnershipMixin, "duty_leased", always),
-            (duties.ShardOwnershipMixin, "ripe", always),
-            (duties, "STALE", 10**9),
+            (execution.OrderExecutionMixin, "executor_leased", always),
+            (execution.OrderExecutionMixin, "former_owner_stopped", always),
+            (execution, "REQUEST_FRESH_MS", 10**9),
         ],
         range(1, 60),
     ),
--- a/tests/test_control_scenarios.py
+++ b/tests/test_control_scenarios.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-import basaltport.consensus.book as book
+import basaltport.consensus.state_machine as state_machine
 import basaltport.consensus.election as election
 import basaltport.consensus.replication as replication
 import basaltport.consensus.timing as timing
 import basaltport.consensus.voting_policy as voting_policy
-import basaltport.controller.operator_requests as desk
+import basaltport.controller.operator_requests as operator_requests
 import basaltport.controller.node as role
 import basaltport.simulation.routes.control as control
 import basaltport.simulation.routes.control_losses as control_losses
@@ -82,7 +82,7 @@
 # mutations
 
 _judged, _load_for, _keep_snapshot = (
-    desk.DeskMixin.judged,
+    operator_requests.OperatorRequestsMixin.judge_change,
     replication.ReplicationMixin.load_for,
     role.Controller.keep_snapshot,
 )
@@ -108,8 +108,8 @@
     return (412, {"error": "edition"}) if self.now % 3 == 0 else got
 
 
-def _forgets_changes(b, op, s):
-    pass
+def _forgets_changes(state, operation, index):
+    return {}
 
 
 def _falls_back(self):
@@ -120,7 +120,7 @@
         return
     first = self.__dict__.setdefault("first_document", document)
     if self.book["mserial"] % 10 == 0:
-        self.book = {**self.book, "manifest": first}
+        self.book = dataclasses.replace(self.book, configuration=first)
 
 
 def _only_founding(self, got):
@@ -129,18 +129,18 @@
 
 def _sends_no_copy(self, s):
     entries, copy, gen, serial = _load_for(self, s)
-    return (entries, {}, gen, serial) if copy else (entries, copy, gen, serial)
+    return (entries, None, gen, serial) if copy else (entries, copy, gen, serial)
 
 
 _stubborn = dataclasses.replace(voting_policy.DISK_MEMBERS, leader_step_down_ms=10**6)
 NEVER_STEPS_DOWN = [(voting_policy, "DISK_MEMBERS", _stubborn), (timing, "LEADER_LEASE", 10**6)]
-UNCONFIRMED = (desk.DeskMixin, "confirm", _read_without_majority)
-JUDGED = (desk.DeskMixin, "judged")
+UNCONFIRMED = (operator_requests.OperatorRequestsMixin, "confirm", _read_without_majority)
+JUDGED = (operator_requests.OperatorRequestsMixin, "judge_change")
 MUTATIONS = [
     (
         "stale-read",
         "leader-cut-20s",
-        [*NEVER_STEPS_DOWN, (desk.DeskMixin, "confirm", _read_without_majority)],
+        [*NEVER_STEPS_DOWN, (operator_requests.OperatorRequestsMixin, "confirm", _read_without_majority)],
     ),
     ("one-holder", "leader-cut-20s", NEVER_STEPS_DOWN),
     ("holder-behind", "leader-cut-20s", NEVER_STEPS_DOWN),
@@ -149,7 +149,7 @@
     ("keeper-back", "leader-cut-20s", [(role.Controller, "keep_snapshot", _falls_back)]),
     ("two-confirmed", "two-operators-one-number", [(*JUDGED, _no_comparison)]),
     ("refused-but-taken", "two-operators-one-number", [(*JUDGED, _taken_though_refused)]),
-    ("repeat-refused", "two-operators-one-number", [(book, "_remember", _forgets_changes)]),
+    ("repeat-refused", "two-operators-one-number", [(state_machine, "_remember", _forgets_changes)]),
     ("majority", "loss-in-unplanned-replacement", [(election.ElectionMixin, "quorum", _only_founding)]),
     (
         "caught-up",
--- a/tests/test_route_scenarios.py
+++ b/tests/test_route_scenarios.py
@@ -1,11 +1,12 @@
 """The whole path of routes on fixed seeds: every check over every run, and each check seen to fail."""
 
+import dataclasses
 import pytest
 
 import basaltport.consensus.election as election
 import basaltport.fleet.follow as follow
-import basaltport.controller.operator_requests as desk
-import basaltport.controller.shard_ownership as duties
+import basaltport.controller.operator_requests as operator_requests
+import basaltport.controller.shard_ownership as shard_ownership
 import basaltport.placement.replica_choice as replica_choice
 import basaltport.placement.machine as machine
 import basaltport.placement.plan_execution as plan_execution
@@ -14,7 +15,7 @@
 import basaltport.simulation.routes.request_rows as request_rows
 import basaltport.simulation.routes.scenes as routescenes
 import basaltport.simulation.trace as trace
-import basaltport.simulation.virtual_disk as simdisk
+import basaltport.simulation.virtual_disk as virtual_disk
 import basaltport.proxy.retry_budget as retry_budget
 import basaltport.proxy.retry_decision as retry_decision
 import basaltport.proxy.load_balancing as load_balancing
@@ -46,7 +47,7 @@
 
 # mutations
 
-_refuse, _judged = node.ProxyNode.reject, desk.DeskMixin.judged
+_refuse, _judged = node.ProxyNode.reject, operator_requests.OperatorRequestsMixin.judge_change
 _requests_waiting = machine.Placement.requests_waiting
 
 
@@ -79,7 +80,7 @@
     if old is None or doc["edition"] <= old["edition"]:
         self.old = doc
     elif self.now - self.budgets.started_at > 12_000:
-        self.book = {**self.book, "manifest": old}
+        self.book = dataclasses.replace(self.book, configuration=old)
 
 
 _take_book = follow.FollowMixin.take_book
@@ -148,11 +149,15 @@
     ("evacuated", "evacuation-while-a-keeper-dies", [(load_balancing.LoadBalancer, "is_open", _any_zone)]),
     ("in-force", "quiet", [(follow.FollowMixin, "take_book", _book_once)]),
     ("back", "quiet", [(follow.FollowMixin, "take_book", _forgets)]),
-    ("agreed", "power-loss", [(simdisk.VirtualDisk, "done", _not_written)]),
+    ("agreed", "power-loss", [(virtual_disk.VirtualDisk, "done", _not_written)]),
     ("fed", "rare-models-at-once", [(follow.FollowMixin, "take_rows", _rows_once)]),
-    ("refused", "operators-race", [(desk.DeskMixin, "judged", _taken_though_refused)]),
-    ("refused", "operators-race", [(desk.DeskMixin, "judged", _no_compare)]),
-    ("survives", "power-loss", [(simdisk.VirtualDisk, "done", _not_written)]),
+    (
+        "refused",
+        "operators-race",
+        [(operator_requests.OperatorRequestsMixin, "judge_change", _taken_though_refused)],
+    ),
+    ("refused", "operators-race", [(operator_requests.OperatorRequestsMixin, "judge_change", _no_compare)]),
+    ("survives", "power-loss", [(virtual_disk.VirtualDisk, "done", _not_written)]),
     ("resends", "replicas-refuse", [(retry_budget.RetryBudget, "has_room", lambda self, now, nodes: True)]),
     ("cold", "replicas-cold", [(load_balancing.LoadBalancer, "slow_start_share", lambda self, row: 10**6)]),
     ("store", "rare-models-at-once", [(token_bucket.TokenBucket, "fill", _endless)]),
@@ -172,7 +177,7 @@
         "rare-models-at-once",
         [(node.ProxyNode, "expire", lambda self: None), (machine.Placement, "requests_waiting", _not_m20)],
     ),
-    ("acked", "quiet", [(desk.DeskMixin, "acknowledge", lambda self, w: None)]),
+    ("acked", "quiet", [(operator_requests.OperatorRequestsMixin, "acknowledge", lambda self, w: None)]),
 ]
 
 
@@ -191,6 +196,6 @@
 
 
 def test_two_holders_within_the_lease_are_found(monkeypatch):
-    monkeypatch.setattr(duties.ShardOwnershipMixin, "ripe", lambda self, i: True)
-    monkeypatch.setattr(duties.ShardOwnershipMixin, "duty_leased", lambda self: True)
+    monkeypatch.setattr(shard_ownership.ShardOwnershipMixin, "former_owner_stopped", lambda self, i: True)
+    monkeypatch.setattr(shard_ownership.ShardOwnershipMixin, "executor_leased", lambda self: True)
     assert any(rules_broken("core-cut", seed) == {"holders"} for seed in range(1, 13))
