--- a/basaltport/simulation/routes/play.py
+++ b/basaltport/simulation/routes/play.py
@@ -1,4 +1,4 @@
-"""`rehearse-routes` plays scenarios on the whole routed path by seed and checks every rule."""
+"""`simulate routes` plays scenarios on the whole routed path by seed and checks every rule."""
 
 import collections
 import dataclasses
@@ -15,7 +15,7 @@
 import basaltport.simulation.routes.request_rows as request_rows
 import basaltport.simulation.routes.scenes as scenes
 import basaltport.simulation.trace as trace
-import basaltport.command_line.command as verbs
+import basaltport.command_line.command as command
 
 FINDINGS_SHOWN = 5
 USAGE = 2
@@ -136,12 +136,12 @@
         rules = {found.rule for found in findings}
         for fault in mayhem.shrink(play.name, play.seed, play.preset, rules):
             print(f"  needs {tuple(fault)}")
-    again = f"rehearse-routes {play.name} --seed={play.seed} --preset={play.preset}"
+    again = f"simulate routes {play.name} --seed={play.seed} --preset={play.preset}"
     print(f"  again: basaltport {again}", flush=True)
 
 
-VERBS = {
-    "rehearse-routes": verbs.Verb(
+COMMANDS = {
+    "simulate routes": command.Command(
         "Play a scenario on the whole path of routes on virtual time and check every rule.",
         run,
         define,
