--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,5 +1,6 @@
 """Changes of the roster: members replaced while they live, losses beside a change, leases across restarts."""
 
+import copy
 import dataclasses
 import pathlib
 
@@ -63,6 +64,38 @@
     assert not leader.lost_seat(seat)
 
 
+def test_a_hello_that_comes_after_the_leave_it_was_sent_before_brings_nobody_back():
+    """The fourth member stops and is removed; hellos of before come until its process has ended."""
+    w = world(4, 3)
+    w.add("new")
+    w.boot("new")
+    w.run(6000)
+    old = next(k for k in others(w) if k != "new")
+    seat, released = w.nodes[old].seat, w.nodes[old].member.released
+    hello = w.nodes[old].member.hello([])
+    w.ask_to_stop(w.nodes[old])
+    leader = w.nodes[w.leader()].member
+    assert w.until(lambda: seat in leader.gone, 100) is not None
+    while not released():
+        leader.step(events.Heard(w.now, "", copy.copy(hello)))
+        w.run(20)
+    leader.step(events.Heard(w.now, "", copy.copy(hello)))
+    w.kill(old)
+    w.run(timing.RESPONSIVE)
+    assert w.leader() and seat not in quorum.voters(leader.tip_book)
+
+
+def test_one_that_is_back_with_its_seat_soon_after_it_left_gets_it_again():
+    w = world(4, 3)
+    w.add("new")
+    w.boot("new")
+    w.run(6000)
+    old = next(k for k in others(w) if k != "new")
+    w.stop(old)
+    w.boot(old)
+    assert w.until(lambda: w.settled("k1", "k2", "k3", "new"), 4000) is not None
+
+
 def different(edition):
     return {**controllers.document(edition), "limits": {**controllers.LIMITS, "body_bytes": 1_000_000}}
 
@@ -128,6 +161,42 @@
     assert w.must(2, 1, 4000) is not None
 
 
+@pytest.mark.parametrize("after", range(100, 2000, 200))
+def test_a_successor_lost_again_before_its_predecessor_counts_as_lost_leaves_a_majority(after):
+    """Two of the three live all the time; the third machine and its successor are both gone."""
+    w = world(after, 3)
+    w.kill(others(w)[0], power=True)
+    w.run(50)
+    w.add("new")
+    w.boot("new")
+    w.run(after)
+    w.kill("new", power=True)
+    assert w.must(2, 1, 6000) is not None
+
+
+@pytest.mark.parametrize("back", [0, 1])
+@pytest.mark.parametrize("after", range(1900, 2400, 20))
+def test_a_third_of_five_lost_as_two_are_removed_and_one_of_the_two_back_leaves_a_majority(back, after):
+    w = world(after, 5)
+    lost = others(w)
+    w.kill(lost[0], power=True)
+    w.kill(lost[1], power=True)
+    w.run(after)
+    w.kill(lost[2], power=True)
+    w.run(1000)
+    w.boot(lost[back])
+    assert w.must(2, 1, 6000) is not None
+
+
+def test_whoever_is_silent_is_removed_before_one_that_leaves_and_still_votes():
+    w = world(6, 5)
+    leader = w.nodes[w.leader()].member
+    silent, leaving_one = (w.nodes[k].seat for k in others(w)[:2])
+    leader.acks[silent] = leader.now - timing.SILENT - 1
+    leader.gone[leaving_one] = leader.now
+    assert sorted([leaving_one, silent], key=leader.drop_order) == [silent, leaving_one]
+
+
 @pytest.mark.parametrize("members", [3, 5])
 @pytest.mark.parametrize("how", ["both", "in", "out", "late"])
 def test_no_two_members_hold_at_once_when_a_leader_is_cut_off(members, how):
