--- a/basaltport/fleet/follow.py
+++ b/basaltport/fleet/follow.py
@@ -91,7 +91,7 @@
         """
         if self.led() and self.leader_address:
             return [self.leader_address]
-        members = {row["addr"] for row in quorum.voters(self.book).values()}
+        members = {record.address for record in quorum.voters(self.book).values()}
         known = {*members, *self.controllers, *self.me.seeds, self.leader_address}
         return sorted(known - {self.me.addr, ""})
 
--- a/basaltport/query_api/zone_controller/load_permits.py
+++ b/basaltport/query_api/zone_controller/load_permits.py
@@ -48,22 +48,22 @@
 
     def request_permits(self, zone: owned_zone.OwnedZone) -> None:
         """Ask the store's owner for permits, with what this zone holds."""
-        owner = self.book["duties"].get(role_owners.STORE_ROLE)
+        owner = self.book.role_owners.get(role_owners.STORE_ROLE)
         if owner is None or self.now - zone.permits_requested_at < REQUEST_INTERVAL_MS:
             return
         if self.is_unheard(zone, 2 * REQUEST_INTERVAL_MS):
             return
-        address = self.addr_of(owner["owner"])
+        address = self.addr_of(owner.owner)
         if address is None:
             return
         zone.waiting_loads = {
-            item: wanted
-            for item, wanted in zone.waiting_loads.items()
-            if self.now - wanted.wanted_at < 2 * REQUEST_INTERVAL_MS
+            item: desired
+            for item, desired in zone.waiting_loads.items()
+            if self.now - desired.desired_at < 2 * REQUEST_INTERVAL_MS
         }
         needed: Permits = {}
-        for wanted in zone.waiting_loads.values():
-            needed[wanted.pool] = needed.get(wanted.pool, 0) + 1
+        for desired in zone.waiting_loads.values():
+            needed[desired.pool] = needed.get(desired.pool, 0) + 1
         zone.permits_requested_at = self.now
         zone.permit_sequence += 1
         zone.load_budget = {}
@@ -81,8 +81,8 @@
         if not self.may_load_unheard(zone):
             return held
         unheard = sum(LOADS_AT_ONCE for known in zone.replicas.values() if not known.heard)
-        owner = self.book["duties"][role_owners.zone_role(zone.zone)]
-        if unheard and not owner.get("new", owner["first"]):
+        owner = self.book.role_owners[role_owners.zone_role(zone.zone)]
+        if unheard and not owner.is_new:
             held[UNHEARD_POOL] = unheard
         return held
 
@@ -103,20 +103,20 @@
 
     def tick_store(self) -> None:
         """Take over the store's role, or notice that it is another's."""
-        owner = self.book["duties"].get(role_owners.STORE_ROLE)
-        if owner is None or owner["owner"] != self.me.seat:
+        owner = self.book.role_owners.get(role_owners.STORE_ROLE)
+        if owner is None or owner.owner != self.me.seat:
             self.store_fence = None
             return
-        if self.store_fence != owner["fence"]:
-            self.store_fence = owner["fence"]
+        if self.store_fence != owner.fence:
+            self.store_fence = owner.fence
             self.store_accounts = {}
-            self.note(log_events.Event.STORE_ROLE_TAKEN, fence=owner["fence"])
+            self.note(log_events.Event.STORE_ROLE_TAKEN, fence=owner.fence)
 
     def hear_load_permit_request(self, source: str, message: messages.LoadPermitRequest) -> None:
         """Grant permits within what all zones together may load."""
-        owner = self.book["duties"].get(role_owners.STORE_ROLE)
+        owner = self.book.role_owners.get(role_owners.STORE_ROLE)
         address = self.addr_of(message.member_id)
-        if owner is None or owner["owner"] != self.me.seat or address is None or not self.leased():
+        if owner is None or owner.owner != self.me.seat or address is None or not self.leased():
             return
         self.tick_store()
         former = self.store_accounts.get(message.zone)
@@ -136,10 +136,10 @@
         """The permits that a zone gets now, by pool."""
         free = self.rules.loads - self.loads_of()
         granted: Permits = {}
-        for name in sorted(message.wanted):
+        for name in sorted(message.desired):
             pool = self.rules.pools.get(name)
             room = free if pool is None else min(free, pool["loading"] - self.loads_of(name))
-            count = max(0, min(message.wanted[name], room))
+            count = max(0, min(message.desired[name], room))
             if count:
                 granted[name] = count
                 free -= count
--- a/basaltport/simulation/query_api/checks/agreed.py
+++ b/basaltport/simulation/query_api/checks/agreed.py
@@ -67,7 +67,7 @@
         if isinstance(row, rows.Write):
             return self.decided(row, row.node, row.version) + self.written(row)
         if isinstance(row, rows.NoteLogged):
-            return self.decided(row, row.node, row.fields["serial"]) if row.leased else []
+            return self.decided(row, row.node, row.fields["configuration_version"]) if row.leased else []
         if isinstance(row, rows.StaleLease):
             text = f"{row.node} is leased at {row.version}, {row.acked} is acknowledged"
             return [Finding("in-force", row.at_ms, text)]
