--- a/basaltport/consensus/journal.py
+++ b/basaltport/consensus/journal.py
@@ -33,7 +33,7 @@
 
     identity: member_identity.Identity
     held: dict[str, typing.Any] | None
-    promised: identifiers.Term
+    current_term: identifiers.Term
     new_seat: bool = False
 
 
--- a/basaltport/consensus/membership.py
+++ b/basaltport/consensus/membership.py
@@ -25,7 +25,7 @@
         self.learners = {s: m for s, m in fresh.items() if s not in voters and s not in self.gone}
         self.needs |= {s for s in self.learners if s not in self.match and s not in self.sent}
 
-    def keep_roster(self):
+    def maintain_membership(self):
         if self.policy.joint_consensus:
             self.change_one_member()
             return
@@ -46,20 +46,20 @@
             if m["seat"] in roster and roster[m["seat"]] != m:
                 self.append({"op": "roster", "add": m})
                 return
-        self.add_seat(roster) or self.drop_seat(roster)
+        self.add_member(roster) or self.drop_member(roster)
 
     def quiet(self, s):
         """Milliseconds since a seat was last heard, as far as this leader could hear it."""
         if s == self.me.seat:
             return 0
-        return self.now - max(self.acks.get(s, self.since), self.awake_at)
+        return self.now - max(self.acked_at_ms.get(s, self.since), self.resumed_at_ms)
 
     def ready(self, s):
         """Whether a learner has all that is agreed, synced, and answers."""
         caught_up = self.match.get(s, -1) >= self.book["serial"]
-        return caught_up and self.now - self.acks.get(s, -(10**9)) < timing.RESPONSIVE
+        return caught_up and self.now - self.acked_at_ms.get(s, -(10**9)) < timing.RESPONSIVE
 
-    def add_seat(self, roster):
+    def add_member(self, roster):
         """A learner that is ready takes the place of its former self or of a seat that is lost; where all
         others live it comes beside them. While a seat may be lost, it waits for what becomes of it."""
         # M8: it has all that is committed before it votes.
@@ -83,10 +83,10 @@
         for s in sorted(roster):
             if roster[s]["addr"] == row["addr"]:
                 return s
-        lost = [s for s in roster if self.lost_seat(s)]
+        lost = [s for s in roster if self.is_lost(s)]
         return min(lost, key=lambda s: (roster[s]["name"] != row["name"], self.drop_order(s)), default=None)
 
-    def lost_seat(self, s):
+    def is_lost(self, s):
         """Whether a seat said lately that it leaves, or was not heard for long."""
         if s == self.me.seat:
             return False
@@ -95,11 +95,11 @@
 
     def drop_order(self, s):
         """Those that said so go first, then the one heard of longest ago."""
-        return s not in self.gone, self.acks.get(s, self.since), s
+        return s not in self.gone, self.acked_at_ms.get(s, self.since), s
 
-    def drop_seat(self, roster):
+    def drop_member(self, roster):
         """Lost seats go, one at a time, where without them more losses are borne."""
-        lost = [s for s in roster if self.lost_seat(s)]
+        lost = [s for s in roster if self.is_lost(s)]
         if not lost or not leaving.worth_dropping(len(roster), len(roster) - len(lost)):
             return False
         s = min(lost, key=self.drop_order)
--- a/basaltport/consensus/write_ahead_log.py
+++ b/basaltport/consensus/write_ahead_log.py
@@ -15,15 +15,15 @@
 ) -> snapshot_store.State:
     """The state of a snapshot with the records of its log over it. A promise never goes back."""
     tail = list(state["tail"])
-    promised = state["promised"]
+    current_term = state["promised"]
     for record in records:
         if "promise" in record:
-            promised = max(promised, record["promise"])
+            current_term = max(current_term, record["promise"])
             continue
         entry = record["entry"]
         tail = [held for held in tail if held["s"] < entry["s"]] + [entry]
-        promised = max(promised, entry["g"])
-    return {"book": state["book"], "tail": tail, "promised": promised}
+        current_term = max(current_term, entry["g"])
+    return {"book": state["book"], "tail": tail, "promised": current_term}
 
 
 def _path(folder: str, number: int) -> str:
--- a/basaltport/controller/node.py
+++ b/basaltport/controller/node.py
@@ -28,9 +28,11 @@
     TICKS = ("tick_disk", "tick_hello", "tick_elect", "tick_lead", "tick_desk", "tick_duties", "tick_place")
 
     def __init__(
-        self, me, seed, now, held=None, promised=node.NO_TERM, placement=None, lease_ms=LEASE, began=None
+        self, me, seed, now, held=None, current_term=node.NO_TERM, placement=None, lease_ms=LEASE, began=None
     ):
-        node.ConsensusNode.__init__(self, me, seed, now, voting_policy.DISK_MEMBERS, held, promised, began)
+        node.ConsensusNode.__init__(
+            self, me, seed, now, voting_policy.DISK_MEMBERS, held, current_term, began
+        )
         self.placement_start(machine.Placement(self.rng) if placement is None else placement)
         self.placement.may_order = self.may_order
         self.lease_ms = lease_ms
@@ -48,7 +50,7 @@
         super().step(ev)
         self.see_slices()
         self.update_placement()
-        if self.leading and self.beat_at < 0:
+        if self.leading and self.heartbeat_sent_at_ms < 0:
             self.beat()
         self.publish()
         return self.out
--- a/basaltport/controller/operator_requests.py
+++ b/basaltport/controller/operator_requests.py
@@ -128,7 +128,7 @@
         """Answered once a majority answers a heartbeat sent after this, and what it rests on is agreed."""
         r = {"n": self.n, "src": src, "call": call, "verb": verb, "body": body, "asked": at}
         self.reads.append({**r, "got": got, "serial": self.tip_book["serial"] if got else 0})
-        self.beat_at = -(10**9)
+        self.heartbeat_sent_at_ms = -(10**9)
 
     def serve_read(self, r):
         if r["serial"] > self.book["serial"]:
--- a/basaltport/controller/server.py
+++ b/basaltport/controller/server.py
@@ -106,7 +106,7 @@
             seed,
             identifiers.steady(),
             recovered.held,
-            recovered.promised,
+            recovered.current_term,
             lease_ms=lease,
             began=identifiers.Millis(started.AT_MS),
         )
--- a/basaltport/controller/shard_ownership.py
+++ b/basaltport/controller/shard_ownership.py
@@ -123,7 +123,7 @@
 
     def hear_orderrequest(self, src, m):
         fresh = self.now - self.sent_at.get(m.echo, NEVER) <= STALE
-        if m.gen < self.promised or not fresh or not self.owns(m.replica, m.fence):
+        if m.gen < self.current_term or not fresh or not self.owns(m.replica, m.fence):
             self.send(m.address, OrderResult(m.gen, m.order, "failed", identifiers.Millis(0)))
             return
         self.carry_out(
@@ -148,12 +148,12 @@
     def resign_at_stop(self):
         """Whoever leads need not wait for this one's lease."""
         if not self.leading and self.leader is not None:
-            self.send(self.leader.addr, ExecutorResigned(self.me.seat, self.ack_k))
+            self.send(self.leader.addr, ExecutorResigned(self.me.seat, self.last_ack_number))
 
     def resign_again(self, m):
         """A leader that was elected since is told as well."""
         if self.stopped and not self.leading:
-            self.send(m.addr, ExecutorResigned(self.me.seat, self.ack_k))
+            self.send(m.addr, ExecutorResigned(self.me.seat, self.last_ack_number))
 
     # the planner
 
@@ -169,9 +169,9 @@
             return False
         if s == self.me.seat:
             return self.holds() and not self.stopped
-        if self.now - self.acks.get(s, NEVER) > QUIET or s in self.gone or not self.duty_held(s):
+        if self.now - self.acked_at_ms.get(s, NEVER) > QUIET or s in self.gone or not self.duty_held(s):
             return False
-        return s in self.echoes and self.echoes[s][2] >= r["fence"]
+        return s in self.latest_acks and self.latest_acks[s][2] >= r["fence"]
 
     def route_order(self, e):
         """An order of Placement's, to the owner of its slice."""
@@ -183,15 +183,15 @@
         self.put_out[e.order] = self.now
         if s == self.me.seat:
             what = (e.replica, e.address, e.kind, e.model, e.adapter, fence)
-            self.carry_out(self.me.addr, self.promised, e.order, *what)
+            self.carry_out(self.me.addr, self.current_term, e.order, *what)
             return
         what = (e.replica, e.address, e.kind, e.model, e.adapter or "", fence)
-        addr = self.addr_of(s) or self.tip_book["roster"][s]["addr"]
-        self.send(addr, OrderRequest(self.promised, e.order, self.echoes[s][0], self.me.addr, *what))
+        addr = self.address_of(s) or self.tip_book["roster"][s]["addr"]
+        self.send(addr, OrderRequest(self.current_term, e.order, self.latest_acks[s][0], self.me.addr, *what))
 
     def hear_orderresult(self, src, m):
         """That an executor was fenced says nothing of who leads."""
-        if not self.leading or m.gen != self.promised or m.order not in self.put_out:
+        if not self.leading or m.gen != self.current_term or m.order not in self.put_out:
             return
         del self.put_out[m.order]
         outcome = "failed" if m.outcome == "fenced" else m.outcome
@@ -201,8 +201,8 @@
 
     def duties_lead_start(self, got):
         """Every other controller may be leased by who led before, but for one that handed over itself."""
-        gen, ceded = self.former_term, self.ceded
-        self.lease_end = -1
+        gen, ceded = self.previous_term, self.ceded
+        self.lease_expires_at_ms = -1
         rows = self.tip_book.get("slices") or {}
         seats = {*self.tip_book["roster"], *(r[k] for r in rows.values() for k in ("owner", "was"))}
         until = self.now + self.policy.follower_lease_ms + follower_lease.MARGIN
@@ -216,17 +216,17 @@
         self.ceded = (m.gen, self.leader.seat)
 
     def hear_executorresigned(self, src, m):
-        e = self.echoes.get(m.seat) if self.leading else None
+        e = self.latest_acks.get(m.seat) if self.leading else None
         if e is None or e[0] >> follower.LIFE != m.k >> follower.LIFE:
             return
         self.resigned[m.seat] = m.k >> follower.LIFE
         self.duty_lapse.pop(m.seat, None)
 
-    def echo_for(self, s, r):
+    def ack_to_return(self, s, r):
         """Only to a seat that has applied the last change of hands, and once this lead is agreed."""
-        if s not in self.echoes or s not in self.tip_book["roster"] or not self.settled():
+        if s not in self.latest_acks or s not in self.tip_book["roster"] or not self.settled():
             return 0
-        k, at, applied = self.echoes[s]
+        k, at, applied = self.latest_acks[s]
         if self.gave_up(s) or applied < self.top_fence():
             return 0
         self.duty_since.setdefault(s, self.now)
@@ -239,7 +239,7 @@
         return max((r["fence"] for r in (self.tip_book.get("slices") or {}).values()), default=0)
 
     def gave_up(self, s):
-        return s in self.resigned and self.resigned[s] == self.echoes[s][0] >> follower.LIFE
+        return s in self.resigned and self.resigned[s] == self.latest_acks[s][0] >> follower.LIFE
 
     def duty_held(self, s):
         """Whether a seat may believe that it is leased."""
@@ -248,9 +248,9 @@
     def lost(self, s):
         if s == self.me.seat or self.duty_held(s):
             return False
-        if s not in self.tip_book["roster"] or s in self.echoes and self.gave_up(s):
+        if s not in self.tip_book["roster"] or s in self.latest_acks and self.gave_up(s):
             return True
-        return self.now - max(self.acks.get(s, self.since), self.awake_at) > SILENT
+        return self.now - max(self.acked_at_ms.get(s, self.since), self.resumed_at_ms) > SILENT
 
     def let_go(self, r):
         """Whether who owned a slice before knows that it does no more, or is leased no more."""
@@ -259,7 +259,7 @@
             return True
         if s == self.me.seat:
             return self.book["serial"] >= r["fence"]
-        return s in self.echoes and self.echoes[s][2] >= r["fence"]
+        return s in self.latest_acks and self.latest_acks[s][2] >= r["fence"]
 
     def tick_duties(self):
         if not self.leading:
@@ -281,7 +281,7 @@
         live = sorted(
             s
             for s in self.live() & roster.keys() - self.gone.keys()
-            if not (s in self.echoes and self.gave_up(s))
+            if not (s in self.latest_acks and self.gave_up(s))
         )
         if not rows and len(live) < len(roster) and self.now - self.since < GATHER:
             return
--- a/basaltport/host.py
+++ b/basaltport/host.py
@@ -79,7 +79,7 @@
             return got.err_value
         recovered = got.ok_value
         self.me.seat = identifiers.MemberId(recovered.identity.seat)
-        self.member = log_node.LogNode(self.me, seed, now, recovered.held, recovered.promised)
+        self.member = log_node.LogNode(self.me, seed, now, recovered.held, recovered.current_term)
         if recovered.new_seat:
             logs.note(log_events.Event.SEAT_UNKNOWN, {"folder": self.settings["data"], "seat": self.me.seat})
         g, n = self.member.head()
--- a/basaltport/messages.py
+++ b/basaltport/messages.py
@@ -52,7 +52,7 @@
 
 
 @message(2)
-class Campaign:
+class VoteRequest:
     """A candidate asks for the promise of a seat."""
 
     gen: identifiers.Term
@@ -62,21 +62,21 @@
 
 
 @message(3)
-class Promise:
+class Vote:
     """The answer to a `Campaign`, with the generation and serial that the seat holds."""
 
     gen: identifiers.Term
     seat: identifiers.MemberId
     name: identifiers.Name
     ok: bool
-    promised: identifiers.Term
+    current_term: identifiers.Term
     hgen: identifiers.Term
     serial: identifiers.LogIndex
     me: Document
 
 
 @message(4)
-class Fetch:
+class SnapshotRequest:
     """A new leader asks a seat for a copy of what it holds."""
 
     gen: identifiers.Term
@@ -84,7 +84,7 @@
 
 
 @message(5)
-class Copy:
+class Snapshot:
     """All that a seat holds."""
 
     gen: identifiers.Term
@@ -93,7 +93,7 @@
 
 
 @message(6)
-class Beat:
+class Heartbeat:
     """The leader's heartbeat, with entries or a copy for one that lacks them."""
 
     gen: identifiers.Term
@@ -112,7 +112,7 @@
 
 
 @message(7)
-class Ack:
+class HeartbeatAck:
     """The answer to a `Beat`."""
 
     gen: identifiers.Term
@@ -120,7 +120,7 @@
     n: int
     k: int
     ok: bool
-    promised: identifiers.Term
+    current_term: identifiers.Term
     hgen: identifiers.Term
     serial: identifiers.LogIndex
     applied: identifiers.LogIndex
@@ -147,7 +147,7 @@
 
 
 @message(21)
-class Yield:
+class LeadershipTransfer:
     """The leader stops and names the ledger that may ask for promises at once."""
 
     gen: identifiers.Term
@@ -162,7 +162,7 @@
 
 
 @message(28)
-class Canvass:
+class PreVoteRequest:
     """Asks, before any promise is asked for, whether a seat hears a leader."""
 
     name: identifiers.Name
@@ -170,7 +170,7 @@
 
 
 @message(29)
-class Canvassed:
+class PreVote:
     """`ok`: this seat hears no leader."""
 
     seat: identifiers.MemberId
--- a/basaltport/model/durable.py
+++ b/basaltport/model/durable.py
@@ -20,12 +20,12 @@
 class Held:
     """Of one disk: the highest vote and the entries that are synced."""
 
-    promised: identifiers.Term = identifiers.Term()
+    current_term: identifiers.Term = identifiers.Term()
     entries: set[Entry] = dataclasses.field(default_factory=set)
 
-    def add(self, promised: list[identifiers.Term], entries: list[Entry]) -> None:
+    def add(self, current_term: list[identifiers.Term], entries: list[Entry]) -> None:
         """These are synced now."""
-        self.promised = max([self.promised, *promised])
+        self.current_term = max([self.current_term, *current_term])
         self.entries.update(entries)
 
 
@@ -42,18 +42,18 @@
         m = node.member
         entries = [_key(e) for e in m.tail]
         held = self.held[node.name] = Held()
-        held.add([m.promised], [*entries, (m.book["serial"], tuple(m.book["gen"]))])
+        held.add([m.current_term], [*entries, (m.book["serial"], tuple(m.book["gen"]))])
 
     def asked(self, node: nodes.Node, token: int, records: list[dict[str, typing.Any]], whole: bool) -> None:
         """A write was handed to the disk; with `whole`, of all that the member has."""
         m = node.member
-        promised = [identifiers.Term(*r["promise"]) for r in records if "promise" in r]
+        current_term = [identifiers.Term(*r["promise"]) for r in records if "promise" in r]
         entries = [_key(r["entry"]) for r in records if "entry" in r]
         if whole:
-            promised.append(m.promised)
+            current_term.append(m.current_term)
             entries += [_key(e) for e in m.tail]
             entries.append((m.book["serial"], tuple(book.gen(m.book))))
-        self.writes[node.name, node.life, token] = promised, entries
+        self.writes[node.name, node.life, token] = current_term, entries
 
     def synced(self, node: nodes.Node, token: int, ok: bool) -> None:
         """The disk says that a write is safe, or that it failed."""
@@ -64,8 +64,8 @@
     def bears_out(self, node: nodes.Node, msg: object) -> bool:
         """Whether what a vote or an acknowledgement says is on the disk."""
         held = self.held[node.name]
-        if isinstance(msg, messages.Promise):
-            return not msg.ok or held.promised >= msg.gen
-        if isinstance(msg, messages.Ack) and msg.ok:
+        if isinstance(msg, messages.Vote):
+            return not msg.ok or held.current_term >= msg.gen
+        if isinstance(msg, messages.HeartbeatAck) and msg.ok:
             return not msg.serial or (msg.serial, tuple(msg.hgen)) in held.entries
         return True
--- a/basaltport/query_api/anti_entropy/key_holder.py
+++ b/basaltport/query_api/anti_entropy/key_holder.py
@@ -49,7 +49,7 @@
     book: dict[str, typing.Any]
     rules: rules.Rules
 
-    def addr_of(self, seat: str) -> str | None:
+    def address_of(self, seat: str) -> str | None:
         """The address of a member, if it is known."""
 
     def send(self, addr: str, msg: object) -> None:
@@ -151,7 +151,7 @@
         digest = self.range_digest(range_number)
         since = identifiers.LogIndex(copying.since)
         for member_id in sorted(set(copying.former) - copying.copied):
-            address = self.addr_of(member_id)
+            address = self.address_of(member_id)
             if address:
                 former_since = identifiers.LogIndex(copying.former[member_id])
                 self.send(
@@ -175,7 +175,7 @@
 
     def hear_key_range_request(self, source: str, message: messages.KeyRangeRequest) -> None:
         """Answer only where this copy was complete under the index asked for, and takes no older claim."""
-        address = self.addr_of(message.member_id)
+        address = self.address_of(message.member_id)
         range_name = str(message.range)
         if address is None or self.book["serial"] < message.since:
             return
@@ -205,7 +205,7 @@
 
     def hear_key_claim(self, source: str, message: messages.KeyClaim) -> None:
         """Answer a claim; blank while the range is not complete here."""
-        address = self.addr_of(message.owner_id)
+        address = self.address_of(message.owner_id)
         holders = self.key_holders(message.key_id)
         own = holders["seats"].get(self.me.seat)
         if address is None or own is None or holders["at"] != message.holders_since:
--- a/basaltport/query_api/failure_detection/ring.py
+++ b/basaltport/query_api/failure_detection/ring.py
@@ -33,7 +33,7 @@
     book: dict[str, typing.Any]
     leader: typing.Any
 
-    def addr_of(self, seat: str) -> str | None:
+    def address_of(self, seat: str) -> str | None:
         """The address of a member, if it is known."""
 
     def send(self, addr: str, msg: object) -> None:
@@ -68,7 +68,7 @@
         self.ring_sequence += 1
         members = self.book["roster"]
         for watcher in watchers(self.me.seat, members):
-            address = self.addr_of(watcher)
+            address = self.address_of(watcher)
             if address:
                 self.send(address, messages.RingHeartbeat(self.me.seat, self.ring_sequence))
         for member_id in members:
--- a/basaltport/scale/part.py
+++ b/basaltport/scale/part.py
@@ -79,8 +79,8 @@
     def step(self, ev):
         super().step(ev)
         m = self.member
-        if m.leading and m.promised.count not in self.held and m.settled() and m.holds():
-            self.held[m.promised.count] = int(identifiers.steady())
+        if m.leading and m.current_term.count not in self.held and m.settled() and m.holds():
+            self.held[m.current_term.count] = int(identifiers.steady())
 
 
 class ControllerPart:
@@ -94,7 +94,7 @@
     def about(self):
         m = self.shell.member
         leads = m.leading and m.settled() and m.holds()
-        at = {"leads": leads, "held": self.shell.held, "gen": m.promised.count}
+        at = {"leads": leads, "held": self.shell.held, "gen": m.current_term.count}
         if leads:
             at |= {"rows": len(m.placement.rows), "proxies": len(m.proxies), "serial": m.book["serial"]}
         return at
--- a/basaltport/shell.py
+++ b/basaltport/shell.py
@@ -46,7 +46,7 @@
     def do_write(self, e):
         whole = None
         if e.whole is not None:
-            whole = {"parts": journal.parts({"promised": self.member.promised, **e.whole})}
+            whole = {"parts": journal.parts({"promised": self.member.current_term, **e.whole})}
         self.writes.append((e.token, [journal.encode(r) for r in e.records], whole))
         if not self.writing:
             self.write_next()
--- a/basaltport/simulation/routes/clients.py
+++ b/basaltport/simulation/routes/clients.py
@@ -131,8 +131,8 @@
         if outcome == "done" or status in FINAL or outcome == "gone":
             self.finish_op(o, outcome if outcome != "own" else str(status))
             return
-        promised = status in PROMISES or outcome == "unread"
-        if o.kind in ("once", "stream") and not promised:
+        current_term = status in PROMISES or outcome == "unread"
+        if o.kind in ("once", "stream") and not current_term:
             self.finish_op(o, "unknown")
             return
         rest = max(0, o.until - self.now) / 3
--- a/basaltport/simulation/routes/fleet_world.py
+++ b/basaltport/simulation/routes/fleet_world.py
@@ -285,9 +285,9 @@
         if not m or not m.rows_known:
             self.fed = []
             return
-        if self.fed and self.fed[-1][1] != m.promised:
+        if self.fed and self.fed[-1][1] != m.current_term:
             self.fed = []
-        self.fed.append((self.now, m.promised, m.feed_n))
+        self.fed.append((self.now, m.current_term, m.feed_n))
         while self.now - self.fed[0][0] > self.timings["apply_ms"]:
             _, gen, n = self.fed.pop(0)
             for p in sorted(self.touching):
--- a/basaltport/simulation/routes/nodes.py
+++ b/basaltport/simulation/routes/nodes.py
@@ -102,9 +102,9 @@
 
     def boot(self, name: str, first: bool = False) -> None:
         n = self.nodes[name]
-        held, promised = None, identifiers.Term()
+        held, current_term = None, identifiers.Term()
         if n.disk:
-            held, promised = n.disk.load().ok_value
+            held, current_term = n.disk.load().ok_value
             if not n.seat:
                 n.seat, n.founders = (
                     f"{n.member_name}-{self.rng.getrandbits(32):08x}",
@@ -125,7 +125,7 @@
             fs = n.founders
             me = member.Me(*args, voters="ledgers", first_start=fs is not None, founders=fs or [])
             seed = self.rng.getrandbits(32)
-            n.member = role.Controller(me, seed, self.clock(n), held, promised, self.placement())
+            n.member = role.Controller(me, seed, self.clock(n), held, current_term, self.placement())
         else:
             n.member = self.proxy_of(member.Me(*args), self.rng.getrandbits(32))
         n.life, n.frozen, n.held, n.book = n.life + 1, False, [], None
@@ -226,7 +226,7 @@
 
     def leader(self) -> str | None:
         """The name of the one that holds, or None."""
-        ns = [(n.member.promised, n.name) for n in self.up() if n.member.holds_at(self.clock(n))]
+        ns = [(n.member.current_term, n.name) for n in self.up() if n.member.holds_at(self.clock(n))]
         return max(ns)[1] if ns else None
 
     def roster(self) -> list[str]:
@@ -303,7 +303,7 @@
     def do_write(self, n: Node, e: typing.Any) -> None:
         whole = None
         if e.whole is not None:
-            whole = {"promised": list(n.member.promised), **e.whole, "tail": list(e.whole["tail"])}
+            whole = {"promised": list(n.member.current_term), **e.whole, "tail": list(e.whole["tail"])}
         n.disk.write(e.token, e.records, whole)
         self.sync_next(n)
 
--- a/tests/crash_states.py
+++ b/tests/crash_states.py
@@ -66,14 +66,14 @@
 
     serial: int = 0
     tail: tuple[tuple[int, int], ...] = ()
-    promised: int = 0
+    current_term: int = 0
 
     def promise(self, term: int) -> "Model":
-        return dataclasses.replace(self, promised=max(self.promised, term))
+        return dataclasses.replace(self, current_term=max(self.current_term, term))
 
     def entry(self, serial: int, term: int) -> "Model":
         tail = (*(held for held in self.tail if held[0] < serial), (serial, term))
-        return Model(self.serial, tail, max(self.promised, term))
+        return Model(self.serial, tail, max(self.current_term, term))
 
     def agreed(self, serial: int) -> "Model":
         """Entries up to here are applied to the book."""
@@ -94,7 +94,7 @@
         if self.serial % 2:
             b["slices"] = {}
         tail = [entry(*held)["entry"] for held in self.tail]
-        return {"book": b, "tail": tail, "promised": [self.promised, "n" if self.promised else ""]}
+        return {"book": b, "tail": tail, "promised": [self.current_term, "n" if self.current_term else ""]}
 
 
 def entry(serial: int, term: int) -> record_framing.Record:
@@ -109,10 +109,10 @@
 def model_of(recovered: journal.Recovered) -> Model:
     """What was read back; any mixture of two states is an error here."""
     if recovered.held is None:
-        assert recovered.promised == identifiers.Term()
+        assert recovered.current_term == identifiers.Term()
         return Model()
     b, tail = recovered.held["book"], recovered.held["tail"]
-    model = Model(b["serial"], tuple((e["s"], e["g"][0]) for e in tail), recovered.promised.count)
+    model = Model(b["serial"], tuple((e["s"], e["g"][0]) for e in tail), recovered.current_term.count)
     assert tail == model.state()["tail"]
     assert b == {**book.new(), **model.state()["book"]} or model.serial == 0 and b == book.new()
     return model
--- a/tests/node.py
+++ b/tests/node.py
@@ -56,7 +56,7 @@
         b["duties"] = {"zone/z1": {"owner": "st-s", "fence": 5, "first": True}}
         self.r.book = b
         self.r.use_agreed_state()
-        self.r.lease_end = 10**12
+        self.r.lease_expires_at_ms = 10**12
         self.r.first_lease = 1
         self.n = 0
         self.news_n = 0
--- a/tests/test_control_scenarios.py
+++ b/tests/test_control_scenarios.py
@@ -79,7 +79,7 @@
 
 _judged, _load_for, _keep_snapshot = (
     desk.DeskMixin.judged,
-    replication.ReplicationMixin.load_for,
+    replication.ReplicationMixin.payload_for,
     role.Controller.keep_snapshot,
 )
 
--- a/tests/test_log_gaps.py
+++ b/tests/test_log_gaps.py
@@ -17,33 +17,35 @@
 
 def test_a_copy_that_is_one_entry_ahead_leaves_no_gap_in_what_is_kept():
     w, follower, leader = follower_and_leader()
-    ahead = book.apply(leader.book, book.entry(leader.book["serial"] + 1, leader.promised, {"op": "final"}))
+    ahead = book.apply(
+        leader.book, book.entry(leader.book["serial"] + 1, leader.current_term, {"op": "final"})
+    )
     follower.install({"book": ahead, "tail": []})
-    after = book.entry(ahead["serial"] + 1, leader.promised, {"op": "final"})
+    after = book.entry(ahead["serial"] + 1, leader.current_term, {"op": "final"})
     follower.tail.append(after)
     follower.advance(after["s"], book.gen_of(after))
-    assert list(follower.retained) == [after["s"]]
+    assert list(follower.retained_entries) == [after["s"]]
 
 
 def test_a_leader_with_a_gap_in_what_it_keeps_sends_a_copy():
     w, _, leader = follower_and_leader()
-    oldest = min(leader.retained)
-    assert leader.entries_from(oldest)[0] is not None
-    del leader.retained[oldest + 2]
-    assert leader.entries_from(oldest)[0] is None
+    oldest = min(leader.retained_entries)
+    assert leader.entries_after(oldest)[0] is not None
+    del leader.retained_entries[oldest + 2]
+    assert leader.entries_after(oldest)[0] is None
 
 
 @pytest.mark.parametrize("missing", [1, 2])
 def test_entries_with_a_gap_are_not_taken(missing):
     w, follower, leader = follower_and_leader()
     serial = follower.book["serial"]
-    entries = [book.entry(serial + i, leader.promised, {"op": "final"}) for i in (1, 2, 3)]
+    entries = [book.entry(serial + i, leader.current_term, {"op": "final"}) for i in (1, 2, 3)]
     del entries[missing]
     if missing == 2:
-        entries.append(book.entry(serial + 4, leader.promised, {"op": "final"}))
+        entries.append(book.entry(serial + 4, leader.current_term, {"op": "final"}))
     head = follower.head()
-    beat = messages.Beat(
-        leader.promised, leader.me.seat, "k", leader.me.addr, 10**6, serial, head[0], head[0],
+    beat = messages.Heartbeat(
+        leader.current_term, leader.me.seat, "k", leader.me.addr, 10**6, serial, head[0], head[0],
         identifiers.LogIndex(serial), entries, {}, 0, 0
     )  # fmt: skip
     assert follower.extend(beat) is False
@@ -53,9 +55,9 @@
 def test_what_is_behind_a_gap_is_not_applied():
     w, follower, leader = follower_and_leader()
     serial = follower.book["serial"]
-    follower.tail = [book.entry(serial + 2, leader.promised, {"op": "final"})]
+    follower.tail = [book.entry(serial + 2, leader.current_term, {"op": "final"})]
     with pytest.raises(ValueError):
-        follower.advance(serial + 2, leader.promised)
+        follower.advance(serial + 2, leader.current_term)
     assert follower.book["serial"] == serial
 
 
@@ -65,7 +67,7 @@
     out = next(s for s in leader.book["roster"] if s != leader.me.seat)
     row = {**leader.book["roster"][out], "seat": "new", "addr": "10.9.9.9:1", "name": "new"}
     leader.append({"op": "joint", "drops": [out], "adds": [row]})
-    leader.acks[out] = leader.now
+    leader.acked_at_ms[out] = leader.now
     assert out in leader.live()
     leader.tip_book = {**leader.tip_book, "slices": {}}
     leader.since = leader.now - duties.GATHER
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -46,7 +46,7 @@
 def documents_of(recovered):
     """State, entries not known to be agreed, and the vote, as they are stored."""
     held = recovered.held
-    return {"book": held["book"], "tail": held["tail"], "promised": list(recovered.promised)}
+    return {"book": held["book"], "tail": held["tail"], "promised": list(recovered.current_term)}
 
 
 def tip_of(recovered):
@@ -108,7 +108,7 @@
     before = {end: (path / f"snap.{number}.{end}").read_bytes() for end in ("dat", "dir")}
     disk = journal.Disk(str(path), stored_forms.MEMBER)
     recovered = disk.open(SOMEBODY_NEW).ok_value
-    disk.write([], {**recovered.held, "promised": recovered.promised})
+    disk.write([], {**recovered.held, "promised": recovered.current_term})
     disk.close()
     assert before == {end: (path / f"snap.{disk.number}.{end}").read_bytes() for end in ("dat", "dir")}
 
