--- a/basaltport/consensus/follower.py
+++ b/basaltport/consensus/follower.py
@@ -125,7 +125,7 @@
     def refuse_heartbeat(self, m):
         if m.gen not in self.older_terms_noted:
             self.older_terms_noted = {m.gen}
-            self.note(34, leader=m.name, generation=m.gen.text(), current_term=self.current_term.text())
+            self.note(34, leader=m.name, generation=m.gen.text(), promised=self.current_term.text())
         self.send(m.addr, self.heartbeat_ack(m.n, False, False))
 
     def note_leader(self, m):
--- a/basaltport/consensus/leaving.py
+++ b/basaltport/consensus/leaving.py
@@ -42,7 +42,7 @@
     def announce_leaving(self, addrs):
         self.leaving_said_at_ms = self.now
         for a in addrs:
-            self.send(a, messages.Leave(self.me.seat))
+            self.send(a, messages.MemberLeaving(self.me.seat))
 
     def tell_leader(self, m):
         """A leader that was elected since is told as well that this member leaves."""
--- a/basaltport/consensus/replication.py
+++ b/basaltport/consensus/replication.py
@@ -168,7 +168,7 @@
             return
         if not m.ok:
             if m.current_term > self.current_term:
-                self.step_down(f"generation {m.promised.text()}")
+                self.step_down(f"generation {m.current_term.text()}")
                 self.top = max(self.top, m.current_term.count)
             return
         # M1: only members of this leader's term count.
--- a/basaltport/messages.py
+++ b/basaltport/messages.py
@@ -155,7 +155,7 @@
 
 
 @message(22)
-class Leave:
+class MemberLeaving:
     """A rostrum stops: it holds no lease and will take none."""
 
     seat: identifiers.MemberId
--- a/basaltport/query_api/query_node.py
+++ b/basaltport/query_api/query_node.py
@@ -132,7 +132,7 @@
         self.stopped = True
         self.lease_expires_at_ms = LONG_AGO
         if self.leader:
-            self.send(self.leader.addr, common_messages.Leave(self.me.seat))
+            self.send(self.leader.addr, common_messages.MemberLeaving(self.me.seat))
 
     def tick_hints(self) -> None:
         """Hints go once the agreed state has them, or proved not to come to have them."""
--- a/tests/model_word_mutations.py
+++ b/tests/model_word_mutations.py
@@ -30,7 +30,7 @@
     Mutation(
         "word of those without a vote",
         {Rule.WORD},
-        [(leader_lease.LeaderLeaseMixin, "vouch", vouch_by_anybody)],
+        [(leader_lease.LeaderLeaseMixin, "renew_lease", vouch_by_anybody)],
         range(8, 60),
         random_search.living_name,
     ),
