--- a/basaltport/consensus/membership.py
+++ b/basaltport/consensus/membership.py
@@ -34,7 +34,7 @@
     def change_one_member(self):
         """Ends a joint change; new rows of known seats; then a seat that has caught up; then one less that is
         silent. Until a change of seats is agreed both rosters decide. Majorities of rosters one seat apart
-        meet, but half of one, which elects with proof of lost disks (`attested`), may miss a majority of the
+        meet, but half of one, which elects with proof of lost disks (`proven_replacements`), may miss a majority of the
         other."""
         # M8: one change at a time, each committed before the next; M4: by a leader that holds its lease.
         if not self.holds() or self.pending(*CHANGES):
