--- a/basaltport/simulation/query_api/world/world.py
+++ b/basaltport/simulation/query_api/world/world.py
@@ -12,7 +12,7 @@
 import basaltport.member as member
 import basaltport.simulation.query_api.standins.backend as backend
 import basaltport.simulation.query_api.world.senders as senders
-import basaltport.simulation.virtual_disk as simdisk
+import basaltport.simulation.virtual_disk as virtual_disk
 import basaltport.query_api.query_node as query_node
 
 TICK = 25
@@ -111,7 +111,7 @@
         self.nodes[name] = n
         self.by_addr[n.addr] = n
         if role == "ledger":
-            n.disk = simdisk.SimDisk(random.Random(self.rng.random()))
+            n.disk = virtual_disk.VirtualDisk(random.Random(self.rng.random()))
         return n
 
     def move(self, name):
@@ -165,7 +165,7 @@
         if n.disk is None:
             return
         if disk:
-            n.disk = simdisk.SimDisk(random.Random(self.rng.random()))
+            n.disk = virtual_disk.VirtualDisk(random.Random(self.rng.random()))
             n.seat = ""
             return
         n.disk.power_loss()
--- a/basaltport/simulation/routes/nodes.py
+++ b/basaltport/simulation/routes/nodes.py
@@ -11,7 +11,7 @@
 import basaltport.controller.node as role
 import basaltport.identifiers as identifiers
 import basaltport.member as member
-import basaltport.simulation.virtual_disk as simdisk
+import basaltport.simulation.virtual_disk as virtual_disk
 
 TICK = 50
 HELD = 1500
@@ -90,7 +90,7 @@
 
     def add(self, name: str, disk: bool = True) -> Node:
         n = Node(name, self.address(), None)
-        n.disk = simdisk.SimDisk(random.Random(self.rng.random())) if disk else None
+        n.disk = virtual_disk.VirtualDisk(random.Random(self.rng.random())) if disk else None
         self.nodes[name] = self.by_addr[n.addr] = n
         return n
 
@@ -150,7 +150,7 @@
         if n.disk is None:
             return
         if disk:
-            n.disk, n.seat, n.founders = simdisk.SimDisk(random.Random(self.rng.random())), "", None
+            n.disk, n.seat, n.founders = virtual_disk.VirtualDisk(random.Random(self.rng.random())), "", None
             return
         if power:
             n.disk.power_loss()
--- a/basaltport/simulation/virtual_disk.py
+++ b/basaltport/simulation/virtual_disk.py
@@ -13,7 +13,7 @@
 Queued = tuple[int, bytes, str | None]
 
 
-class SimDisk:
+class VirtualDisk:
     """The log's own frames and replay; the switch of snapshots is one step, as a rename is. docs/storage.md
     says why a power loss of the real files comes to what `power_loss` does here."""
 
--- a/tests/test_route_scenarios.py
+++ b/tests/test_route_scenarios.py
@@ -12,7 +12,7 @@
 import basaltport.placement.token_bucket as token_bucket
 import basaltport.simulation.routes.mayhem as routemayhem
 import basaltport.simulation.routes.scenes as routescenes
-import basaltport.simulation.virtual_disk as simdisk
+import basaltport.simulation.virtual_disk as virtual_disk
 import basaltport.proxy.retry_budget as retry_budget
 import basaltport.proxy.retry_decision as retry_decision
 import basaltport.proxy.load_balancing as load_balancing
@@ -145,11 +145,11 @@
     ("evacuated", "evacuation-while-a-keeper-dies", [(load_balancing.LoadBalancer, "is_open", _any_zone)]),
     ("in-force", "quiet", [(follow.FollowMixin, "take_book", _book_once)]),
     ("back", "quiet", [(follow.FollowMixin, "take_book", _forgets)]),
-    ("agreed", "power-loss", [(simdisk.SimDisk, "done", _not_written)]),
+    ("agreed", "power-loss", [(virtual_disk.VirtualDisk, "done", _not_written)]),
     ("fed", "rare-models-at-once", [(follow.FollowMixin, "take_rows", _rows_once)]),
     ("refused", "operators-race", [(desk.DeskMixin, "judged", _taken_though_refused)]),
     ("refused", "operators-race", [(desk.DeskMixin, "judged", _no_compare)]),
-    ("survives", "power-loss", [(simdisk.SimDisk, "done", _not_written)]),
+    ("survives", "power-loss", [(virtual_disk.VirtualDisk, "done", _not_written)]),
     ("resends", "replicas-refuse", [(retry_budget.RetryBudget, "has_room", lambda self, now, nodes: True)]),
     ("cold", "replicas-cold", [(load_balancing.LoadBalancer, "slow_start_share", lambda self, row: 10**6)]),
     ("store", "rare-models-at-once", [(token_bucket.TokenBucket, "fill", _endless)]),
--- a/tests/test_virtual_disk.py
+++ b/tests/test_virtual_disk.py
@@ -17,7 +17,7 @@
 
 def _disk(seed):
     """One acknowledged entry."""
-    disk = virtual_disk.SimDisk(random.Random(seed))
+    disk = virtual_disk.VirtualDisk(random.Random(seed))
     disk.write(1, _entries(1, 1), None)
     disk.begin()
     assert disk.done() == [(1, True)]
@@ -93,5 +93,5 @@
 
 
 def test_an_empty_disk_gives_back_that_nothing_was_promised():
-    held, current_term = virtual_disk.SimDisk(random.Random(1)).load().ok_value
+    held, current_term = virtual_disk.VirtualDisk(random.Random(1)).load().ok_value
     assert held == {k: journal.empty()[k] for k in ("book", "tail")} and current_term == identifiers.Term()
