--- a/basaltport/main.py
+++ b/basaltport/main.py
@@ -10,7 +10,7 @@
 import basaltport.query_api.load_generator.cli as paddle
 import basaltport.model.cli as model
 import basaltport.local_fleet.cli as local_fleet
-import basaltport.simulation.cli as rehearsal
+import basaltport.simulation.query_api.cli as rehearsal
 import basaltport.simulation.query_api.drills.drill as drill
 import basaltport.simulation.query_api.planner as planner
 import basaltport.simulation.query_api.play as play
