--- a/basaltport/model/checks.py
+++ b/basaltport/model/checks.py
@@ -103,11 +103,11 @@
     # leaders
 
     def _leads(self, node: nodes.Node) -> None:
-        term, life = node.member.current_term, (node.name, node.life)
-        if self.terms.setdefault(term, life) != life:
-            self._broken(Rule.TERM, term=term, first=self.terms[term], second=life)
-        if (term, life) not in self.began:
-            self.began[term, life] = self.world.now
+        term, incarnation = node.member.current_term, (node.name, node.incarnation)
+        if self.terms.setdefault(term, incarnation) != incarnation:
+            self._broken(Rule.TERM, term=term, first=self.terms[term], second=incarnation)
+        if (term, incarnation) not in self.began:
+            self.began[term, incarnation] = self.world.now
             self.counts["terms"] += 1
             self._complete(node)
         self._one_holds()
@@ -136,21 +136,21 @@
 
     def beat_sent(self, node: nodes.Node, beat: messages.Heartbeat) -> None:
         """A leader sent a heartbeat."""
-        self.beats.setdefault((node.name, node.life, beat.gen, beat.n), self.world.now)
+        self.beats.setdefault((node.name, node.incarnation, beat.gen, beat.n), self.world.now)
 
     def ack_heard(self, node: nodes.Node, ack: messages.HeartbeatAck) -> None:
         """A leader is about to hear an acknowledgement."""
         if not ack.ok or ack.gen != node.member.current_term:
             return
-        at = self.beats.get((node.name, node.life, ack.gen, ack.n))
+        at = self.beats.get((node.name, node.incarnation, ack.gen, ack.n))
         if at is not None:
-            words = self.words.setdefault((node.name, node.life, ack.gen), {})
+            words = self.words.setdefault((node.name, node.incarnation, ack.gen), {})
             words[ack.seat] = max(at, words.get(ack.seat, 0))
 
     def _majority_since(self, node: nodes.Node, since: int) -> bool:
         """Whether those that answered a heartbeat sent since then leave no other leader to be elected."""
         m = node.member
-        words = self.words.get((node.name, node.life, m.current_term), {})
+        words = self.words.get((node.name, node.incarnation, m.current_term), {})
         have = {s for s, at in words.items() if at >= since} | {m.me.seat}
         return electorate.bears(have, electorate.rosters(m.book, m.tail))
 
@@ -167,7 +167,7 @@
         """A leader sends an update to a proxy."""
         m = node.member
         self.counts["updates"] += 1
-        began = self.began.get((m.current_term, (node.name, node.life)), self.world.now)
+        began = self.began.get((m.current_term, (node.name, node.incarnation)), self.world.now)
         if not self._majority_since(node, max(began, self.world.now - WORD_MS)):
             self._broken(Rule.WORD, node=node.name, feeds=True)
         if m.book["serial"] < self.top:
--- a/basaltport/model/durable.py
+++ b/basaltport/model/durable.py
@@ -53,11 +53,11 @@
             current_term.append(m.current_term)
             entries += [_key(e) for e in m.tail]
             entries.append((m.book["serial"], tuple(book.gen(m.book))))
-        self.writes[node.name, node.life, token] = current_term, entries
+        self.writes[node.name, node.incarnation, token] = current_term, entries
 
     def synced(self, node: nodes.Node, token: int, ok: bool) -> None:
         """The disk says that a write is safe, or that it failed."""
-        written = self.writes.pop((node.name, node.life, token), None)
+        written = self.writes.pop((node.name, node.incarnation, token), None)
         if ok and written:
             self.held[node.name].add(*written)
 
--- a/basaltport/model/troubles.py
+++ b/basaltport/model/troubles.py
@@ -115,10 +115,10 @@
     def _do_freeze(self, slot: int, action: schedule.Action) -> None:
         name = self._node_of(slot)
         self.world.freeze(name)
-        self._for_a_while(slot, action.lasts, self._thaw, name, self.world.nodes[name].life)
+        self._for_a_while(slot, action.lasts, self._thaw, name, self.world.nodes[name].incarnation)
 
-    def _thaw(self, name: str, life: int) -> None:
-        if self.world.nodes[name].life == life:
+    def _thaw(self, name: str, incarnation: int) -> None:
+        if self.world.nodes[name].incarnation == incarnation:
             self.world.freeze(name, False)
 
     def _do_stop(self, slot: int, action: schedule.Action) -> None:
@@ -130,17 +130,17 @@
     def _stop(self, name: str) -> None:
         node = self.world.nodes[name]
         self.world.ask_to_stop(node)
-        self.world.later(LEAVE_MS, self._end_once_released, name, node.life)
+        self.world.later(LEAVE_MS, self._end_once_released, name, node.incarnation)
 
-    def _end_once_released(self, name: str, life: int) -> None:
+    def _end_once_released(self, name: str, incarnation: int) -> None:
         """The process waits until the others need its vote no more."""
         node = self.world.nodes[name]
-        if node.life != life:
+        if node.incarnation != incarnation:
             return
         if node.member.released():
             self.world.kill(name)
             return
-        self.world.later(50, self._end_once_released, name, life)
+        self.world.later(50, self._end_once_released, name, incarnation)
 
     def _do_jump(self, slot: int, action: schedule.Action) -> None:
         """Its steady clock goes ahead at once, as after a machine's sleep that no message noticed."""
--- a/basaltport/model/world.py
+++ b/basaltport/model/world.py
@@ -47,7 +47,7 @@
         self.operators = [operators.Operator(self, f"op{i + 1}", 400) for i in range(3)]
         self.delay_max = 1
         if rough:
-            self.reordering, self.doubling, self.delay_max, self.across_lives = True, 0.02, 25, True
+            self.reordering, self.doubling, self.delay_max, self.across_incarnations = True, 0.02, 25, True
         self.later(checks.PERIOD, self.look_round)
 
     # stand-ins
@@ -62,13 +62,13 @@
 
     def do_list(self, node: nodes.Node, effect: object) -> None:
         """The platform answers a little later."""
-        self.later(LIST_MS, self.read_list, node, node.life)
+        self.later(LIST_MS, self.read_list, node, node.incarnation)
 
-    def read_list(self, node: nodes.Node, life: int) -> None:
+    def read_list(self, node: nodes.Node, incarnation: int) -> None:
         """Its answer comes."""
         rows = [{"id": r, "service": "s", "models": {}} for r in REPLICAS]
         listed: typing.Callable[..., processes.Event] = controller_events.Listed
-        self.give(node, life, listed(self.now, True, rows))
+        self.give(node, incarnation, listed(self.now, True, rows))
 
     def do_order(self, node: nodes.Node, effect: effects.Order) -> None:
         """An order to a replica."""
@@ -103,7 +103,7 @@
         ill |= {x for pair in self.cuts if current.issuperset(pair) for x in pair}
         for name in sorted(current):
             node = self.nodes[name]
-            key = (name, node.life)
+            key = (name, node.incarnation)
             if node.member is None or node.frozen or name in ill:
                 self.well_at.pop(key, None)
                 continue
--- a/basaltport/simulation/processes.py
+++ b/basaltport/simulation/processes.py
@@ -33,7 +33,7 @@
         self.name, self.addr = name, addr
         self.disk: typing.Any = disk
         self.member: Reducer = None
-        self.life, self.frozen = 0, False
+        self.incarnation, self.frozen = 0, False
         self.held: list[Event] = []
         self.seat = ""
 
@@ -65,11 +65,11 @@
         for effect in effects:
             handlers.require(self, "do_", type(effect))(node, effect)
 
-    def give(self, node: P, life: int, event: Event) -> None:
+    def give(self, node: P, incarnation: int, event: Event) -> None:
         """Delivers an event, with the time of its delivery, if the process is still the same one.
 
         A frozen process gets it once it goes on."""
-        if node.life != life or node.member is None:
+        if node.incarnation != incarnation or node.member is None:
             return
         if node.frozen:
             node.held.append(event)
@@ -99,17 +99,17 @@
         disk = node.disk
         if disk.queue and not disk.syncing and not disk.stalled:
             disk.begin()
-            self.at(disk.sync_ends_at(self.now), self.synced, node, node.life, disk)
+            self.at(disk.sync_ends_at(self.now), self.synced, node, node.incarnation, disk)
 
-    def synced(self, node: P, life: int, disk: virtual_disk.VirtualDisk) -> None:
+    def synced(self, node: P, incarnation: int, disk: virtual_disk.VirtualDisk) -> None:
         """A sync ends; one that ends while the disk is stalled is begun again after that."""
-        if node.life != life or node.disk is not disk:
+        if node.incarnation != incarnation or node.disk is not disk:
             return
         if disk.stalled:
             disk.syncing = 0
             return
         for token, ok in disk.done():
-            self.give(node, life, events.Synced(self.now, token, ok))
+            self.give(node, incarnation, events.Synced(self.now, token, ok))
         self.sync_next(node)
 
     def stall(self, name: str, on: bool = True) -> None:
--- a/basaltport/simulation/query_api/planner.py
+++ b/basaltport/simulation/query_api/planner.py
@@ -82,7 +82,7 @@
         if r.kept:
             continue
         before = held(w)
-        w.give(n, n.life, events.PrewarmRequested(w.now, [identifiers.Item(i)]))
+        w.give(n, n.incarnation, events.PrewarmRequested(w.now, [identifiers.Item(i)]))
         said = {}
 
         def here(i=i, said=said):
--- a/basaltport/simulation/query_api/scenarios/mayhem.py
+++ b/basaltport/simulation/query_api/scenarios/mayhem.py
@@ -64,10 +64,10 @@
     if r.mode != "up":
         return
     r.mode = pick(("dark", "sick", "torn"), y)
-    life = r.life
+    incarnation = r.incarnation
 
     def well():
-        if r.life == life:
+        if r.incarnation == incarnation:
             r.mode = "up"
 
     w.later(ms, well)
--- a/basaltport/simulation/query_api/standins/backend.py
+++ b/basaltport/simulation/query_api/standins/backend.py
@@ -14,7 +14,7 @@
         self.row = row
         self.conf = conf
         self.logic = None
-        self.life = 0
+        self.incarnation = 0
         self.mode = "up"
         self.slow = 1
         self.past = []
@@ -46,7 +46,7 @@
         r = self.replicas[rid]
         if r.logic:
             r.past.append(r.logic)
-        r.life += 1
+        r.incarnation += 1
         r.mode = "up"
         epoch = f"{rid}-{r.life}"
         r.logic = replica.Replica(rid, r.conf["room"], r.conf["slots"], epoch, self.now)
@@ -57,7 +57,7 @@
         r = self.replicas[rid]
         self.log("replica-crash", replica=rid)
         r.mode = "gone"
-        r.life += 1
+        r.incarnation += 1
         for h in r.logic.held.values():
             if h["state"] == "loading":
                 self.store.end()
@@ -87,30 +87,36 @@
     def do_poll_replica(self, n, e):
         r = self.by_url(e.url)
         if not self.reachable(n, r):
-            self.later(1000, self.give, n, n.life, events.ReplicaPolled(self.now, e.replica_id, False, {}))
+            self.later(
+                1000, self.give, n, n.incarnation, events.ReplicaPolled(self.now, e.replica_id, False, {})
+            )
             return
         fence = int(e.url.split("fence=")[1])
-        self.later(self.hop(), self.poll_there, n, n.life, r, r.life, e, fence)
+        self.later(self.hop(), self.poll_there, n, n.incarnation, r, r.incarnation, e, fence)
 
-    def poll_there(self, n, life, r, rlife, e, fence):
-        ok = r.mode in ("up", "sick", "torn") and r.life == rlife
+    def poll_there(self, n, incarnation, r, rlife, e, fence):
+        ok = r.mode in ("up", "sick", "torn") and r.incarnation == rlife
         st = r.logic.state(self.now, fence) if ok else {}
-        self.later(self.hop(), self.give, n, life, events.ReplicaPolled(self.now, e.replica_id, ok, st))
+        self.later(
+            self.hop(), self.give, n, incarnation, events.ReplicaPolled(self.now, e.replica_id, ok, st)
+        )
 
     def do_order_replica(self, n, e):
         r = self.by_url(e.url)
         if not self.reachable(n, r):
-            self.later(1000, self.give, n, n.life, events.OrderAnswered(self.now, e.order_number, False, {}))
+            self.later(
+                1000, self.give, n, n.incarnation, events.OrderAnswered(self.now, e.order_number, False, {})
+            )
             return
-        self.later(self.hop(), self.order_there, n, n.life, r, r.life, e)
+        self.later(self.hop(), self.order_there, n, n.incarnation, r, r.incarnation, e)
 
-    def order_there(self, n, life, r, rlife, e):
-        if r.mode != "up" or r.life != rlife:
+    def order_there(self, n, incarnation, r, rlife, e):
+        if r.mode != "up" or r.incarnation != rlife:
             self.later(
                 self.hop(),
                 self.give,
                 n,
-                life,
+                incarnation,
                 events.OrderAnswered(self.now, e.order_number, False, {}),
             )
             return
@@ -122,17 +128,17 @@
             self.store.begin()
             self.log("load", replica=r.rid, item=item, at_once=self.store.now_loading, limit=self.store.loads)
             ms = e.body["size"] * self.preset["load_ms_per_size"] * self.store_slow
-            self.later(ms, self.loaded, r, r.life, item)
+            self.later(ms, self.loaded, r, r.incarnation, item)
         self.later(
             self.hop(),
             self.give,
             n,
-            life,
+            incarnation,
             events.OrderAnswered(self.now, e.order_number, status == 200, doc),
         )
 
-    def loaded(self, r, life, item):
-        if r.life != life:
+    def loaded(self, r, incarnation, item):
+        if r.incarnation != incarnation:
             return
         self.store.end()
         r.logic.loaded(self.now, item)
@@ -141,22 +147,22 @@
 
     def do_start_attempt(self, n, e):
         r = self.by_url(e.url)
-        self.later(self.hop(), self.write, n, n.life, r, e)
+        self.later(self.hop(), self.write, n, n.incarnation, r, e)
 
-    def write(self, n, life, r, e):
+    def write(self, n, incarnation, r, e):
         """The wire is there: the last look at lease, serial and mark, and the bytes go."""
-        if n.life != life or n.member is None:
+        if n.incarnation != incarnation or n.member is None:
             return
         if n.frozen:
-            self.later(50, self.write, n, life, r, e)
+            self.later(50, self.write, n, incarnation, r, e)
             return
         n.member.now = max(n.member.now, self.now)
         if r.mode == "gone":
-            self.give(n, life, events.AttemptEnded(self.now, e.attempt_id, "refused", 0, "no-wire"))
+            self.give(n, incarnation, events.AttemptEnded(self.now, e.attempt_id, "refused", 0, "no-wire"))
             return
         e.configuration_version = n.member.may_write(e.attempt_id)
         if e.configuration_version is None:
-            self.give(n, life, events.AttemptEnded(self.now, e.attempt_id, "refused", 0, "withheld"))
+            self.give(n, incarnation, events.AttemptEnded(self.now, e.attempt_id, "refused", 0, "withheld"))
             return
         self.log(
             "write",
@@ -167,20 +173,20 @@
             serial=e.configuration_version,
         )
         st = {"over": False, "pieces": 0, "said": pieces.PieceReader(e.attempt_id), "inbox": [], "at": 0}
-        self.later(e.timeout_ms, self.late, n, life, e, st)
+        self.later(e.timeout_ms, self.late, n, incarnation, e, st)
         if (n.name, r.rid) in self.cuts or r.mode == "dark":
             if self.hold is not None and r.mode != "dark":
-                self.held.append((self.now, self.admit, (n, life, r, r.life, e, st)))
+                self.held.append((self.now, self.admit, (n, incarnation, r, r.incarnation, e, st)))
             lost = events.AttemptEnded(self.now, e.attempt_id, "broken")
-            self.later(sockets.UNDELIVERED, self.back, n, life, e, st, lost)
+            self.later(sockets.UNDELIVERED, self.back, n, incarnation, e, st, lost)
             return
-        self.later(self.hop(), self.admit, n, life, r, r.life, e, st)
+        self.later(self.hop(), self.admit, n, incarnation, r, r.incarnation, e, st)
 
-    def late(self, n, life, e, st):
-        if st["over"] or e.attempt_id in self.abandoned or n.life != life:
+    def late(self, n, incarnation, e, st):
+        if st["over"] or e.attempt_id in self.abandoned or n.incarnation != incarnation:
             return
         st["over"] = True
-        self.give(n, life, self.broke_off(e, st, "late"))
+        self.give(n, incarnation, self.broke_off(e, st, "late"))
 
     def broke_off(self, e, st, outcome):
         """What an adapter tells of a wire that ended: with a piece gone out, the sender's ends as well."""
@@ -189,21 +195,21 @@
         self.closed(e.request_id, "cut", 0, {})
         return events.AttemptEnded(self.now, e.attempt_id, "cut")
 
-    def back(self, n, life, e, st, ev):
-        if st["over"] or e.attempt_id in self.abandoned or n.life != life:
+    def back(self, n, incarnation, e, st, ev):
+        if st["over"] or e.attempt_id in self.abandoned or n.incarnation != incarnation:
             return
         st["over"] = True
         if ev.outcome == "broken":
             ev = self.broke_off(e, st, "broken")
-        self.give(n, life, ev)
+        self.give(n, incarnation, ev)
 
-    def admit(self, n, life, r, rlife, e, st):
-        if r.life != rlife or r.mode not in ("up", "sick", "torn"):
+    def admit(self, n, incarnation, r, rlife, e, st):
+        if r.incarnation != rlife or r.mode not in ("up", "sick", "torn"):
             self.later(
                 self.hop(),
                 self.back,
                 n,
-                life,
+                incarnation,
                 e,
                 st,
                 events.AttemptEnded(self.now, e.attempt_id, "broken"),
@@ -213,7 +219,7 @@
         bad = r.logic.admit(self.now, e.attempt_id, e.configuration_version, e.body)
         if bad:
             ev = events.AttemptEnded(self.now, e.attempt_id, "refused", 0, bad[1], r.logic.serial)
-            self.later(self.hop(), self.back, n, life, e, st, ev)
+            self.later(self.hop(), self.back, n, incarnation, e, st, ev)
             return
         at = {"age": int(self.now - r.logic.born), "running": len(r.logic.running), "group": r.row["group"]}
         p = e.body["prompt"]
@@ -224,7 +230,7 @@
                 self.hop(),
                 self.back,
                 n,
-                life,
+                incarnation,
                 e,
                 st,
                 events.AttemptEnded(self.now, e.attempt_id, "broken"),
@@ -232,17 +238,17 @@
             return
         ms = self.preset["service_ms"][r.row["group"]] * self.rng.uniform(0.6, 1.4) * r.slow
         if e.body.get("stream"):
-            self.stream_start(n, life, r, e, st, ms)
+            self.stream_start(n, incarnation, r, e, st, ms)
             return
-        self.later(int(ms) + 1, self.finish, n, life, r, r.life, e, st)
+        self.later(int(ms) + 1, self.finish, n, incarnation, r, r.incarnation, e, st)
 
-    def finish(self, n, life, r, rlife, e, st):
-        if r.life != rlife:
+    def finish(self, n, incarnation, r, rlife, e, st):
+        if r.incarnation != rlife:
             self.later(
                 self.hop(),
                 self.back,
                 n,
-                life,
+                incarnation,
                 e,
                 st,
                 events.AttemptEnded(self.now, e.attempt_id, "broken"),
@@ -251,21 +257,23 @@
         r.logic.finish(self.now, e.attempt_id)
         if r.mode not in ("up", "sick", "torn") or (r.rid, n.name) in self.cuts:
             return
-        self.later(self.hop(), self.reply, n, life, e, st)
+        self.later(self.hop(), self.reply, n, incarnation, e, st)
 
-    def reply(self, n, life, e, st):
-        if st["over"] or n.life != life or n.member is None:
+    def reply(self, n, incarnation, e, st):
+        if st["over"] or n.incarnation != incarnation or n.member is None:
             return
         if n.frozen:
-            self.later(50, self.reply, n, life, e, st)
+            self.later(50, self.reply, n, incarnation, e, st)
             return
         doc = {"reply": e.body["prompt"]}
         self.closed(e.request_id, "done", 200, doc)
         kept = doc if e.keep_response else None
-        self.back(n, life, e, st, events.AttemptEnded(self.now, e.attempt_id, "done", 200, response=kept))
+        self.back(
+            n, incarnation, e, st, events.AttemptEnded(self.now, e.attempt_id, "done", 200, response=kept)
+        )
 
     def do_cancel_attempt(self, n, e):
         if e.attempt_id in self.abandoned:
             return
         self.abandoned.add(e.attempt_id)
-        self.give(n, n.life, events.AttemptEnded(self.now, e.attempt_id, "broken", 0, "abandoned"))
+        self.give(n, n.incarnation, events.AttemptEnded(self.now, e.attempt_id, "broken", 0, "abandoned"))
--- a/basaltport/simulation/query_api/world/senders.py
+++ b/basaltport/simulation/query_api/world/senders.py
@@ -16,7 +16,7 @@
 
     # streams: the replica's lines, read by the daemons' own reader of them
 
-    def stream_start(self, n, life, r, e, st, ms):
+    def stream_start(self, n, incarnation, r, e, st, ms):
         words = [f"{e.body['prompt']}.{i}" for i in range(PIECES)]
         lines = [{"dispatch": e.attempt_id, "n": i, "piece": w} for i, w in enumerate(words)]
         lines.append({"dispatch": e.attempt_id, "end": True, "pieces": PIECES})
@@ -25,7 +25,9 @@
         at = 0
         for i, doc in enumerate(lines):
             at += int(ms / PIECES) + 1
-            self.later(at, self.stream_there, n, life, r, r.life, e, st, doc, i == len(lines) - 1)
+            self.later(
+                at, self.stream_there, n, incarnation, r, r.incarnation, e, st, doc, i == len(lines) - 1
+            )
 
     def tear(self, lines):
         """What a replica at fault may say: a line lost, said twice, of another run, or too many counted."""
@@ -40,17 +42,17 @@
         else:
             lines[-1] = {**lines[-1], "pieces": PIECES + 1}
 
-    def stream_there(self, n, life, r, rlife, e, st, doc, last):
-        if last and r.life == rlife:
+    def stream_there(self, n, incarnation, r, rlife, e, st, doc, last):
+        if last and r.incarnation == rlife:
             r.logic.finish(self.now, e.attempt_id)
         if st["over"]:
             return
-        if r.life != rlife:
+        if r.incarnation != rlife:
             self.later(
                 self.hop(),
                 self.back,
                 n,
-                life,
+                incarnation,
                 e,
                 st,
                 events.AttemptEnded(self.now, e.attempt_id, "broken"),
@@ -59,23 +61,28 @@
         if r.mode not in ("up", "sick", "torn") or (r.rid, n.name) in self.cuts:
             return
         st["at"] = max(st["at"], self.now + self.hop())
-        self.at(st["at"], self.stream_here, n, life, e, st, doc)
+        self.at(st["at"], self.stream_here, n, incarnation, e, st, doc)
 
-    def stream_here(self, n, life, e, st, doc):
+    def stream_here(self, n, incarnation, e, st, doc):
         """Lines of one wire come in their order."""
         if doc is not None:
             st["inbox"].append(doc)
         if n.frozen:
-            self.later(50, self.stream_here, n, life, e, st, None)
+            self.later(50, self.stream_here, n, incarnation, e, st, None)
             return
-        while st["inbox"] and not st["over"] and n.life == life and e.attempt_id not in self.abandoned:
-            self.stream_line(n, life, e, st, st["inbox"].pop(0))
-
-    def stream_line(self, n, life, e, st, doc):
+        while (
+            st["inbox"]
+            and not st["over"]
+            and n.incarnation == incarnation
+            and e.attempt_id not in self.abandoned
+        ):
+            self.stream_line(n, incarnation, e, st, st["inbox"].pop(0))
+
+    def stream_line(self, n, incarnation, e, st, doc):
         try:
             kind, i, piece = st["said"].take(doc)
         except ValueError:
-            self.back(n, life, e, st, events.AttemptEnded(self.now, e.attempt_id, "broken"))
+            self.back(n, incarnation, e, st, events.AttemptEnded(self.now, e.attempt_id, "broken"))
             return
         q = self.queries[e.request_id]
         if kind == "piece":
@@ -85,7 +92,9 @@
             return
         kept = {"pieces": list(q["pieces"])} if e.keep_response else None
         self.closed(e.request_id, "done", 200, {"reply": e.body["prompt"], "pieces": i})
-        self.back(n, life, e, st, events.AttemptEnded(self.now, e.attempt_id, "done", 200, response=kept))
+        self.back(
+            n, incarnation, e, st, events.AttemptEnded(self.now, e.attempt_id, "done", 200, response=kept)
+        )
 
     def do_repeat_response(self, n, e):
         q = self.queries[e.request_id]
@@ -131,7 +140,7 @@
             body["stream"] = True
         tell = {"key": key} if key else {}
         self.log("query", query=qid, prompt=prompt, line=line, once=once, node=n.name, **tell)
-        self.give(n, n.life, events.RequestArrived(self.now, qid, line, token, body, deadline, key))
+        self.give(n, n.incarnation, events.RequestArrived(self.now, qid, line, token, body, deadline, key))
         return q
 
     def go_away(self, qid):
@@ -142,7 +151,7 @@
         n = self.nodes[q["node"]]
         q["gone"] = True
         self.closed(qid, "gone", 0, {})
-        self.give(n, n.life, events.ClientGone(self.now, qid))
+        self.give(n, n.incarnation, events.ClientGone(self.now, qid))
 
     def closed(self, qid, outcome, status, body):
         q = self.queries[qid]
--- a/basaltport/simulation/query_api/world/world.py
+++ b/basaltport/simulation/query_api/world/world.py
@@ -116,12 +116,12 @@
             n.member = log_node.LogNode(me, seed, self.now, held, current_term)
         else:
             n.member = query_node.QueryNode(me, seed, self.now)
-        n.life += 1
+        n.incarnation += 1
         n.frozen = False
         n.stopping = False
         n.held = []
         self.log("boot", node=name, seat=seat)
-        self.tick(name, n.life)
+        self.tick(name, n.incarnation)
 
     def kill(self, name, power=False, disk=False):
         """The process ends; with power its unsynced bytes go, with disk its whole folder."""
@@ -130,7 +130,7 @@
         if n.member is not None:
             self.cut_senders(n)
         n.member = None
-        n.life += 1
+        n.incarnation += 1
         if n.disk is None:
             return
         if disk:
@@ -163,15 +163,15 @@
         held, n.held = n.held, []
         self.deliver_late(n, held)
 
-    def tick(self, name, life):
+    def tick(self, name, incarnation):
         n = self.nodes[name]
-        if n.life != life or n.member is None:
+        if n.incarnation != incarnation or n.member is None:
             return
         if not n.frozen:
             self.step(n, events.Tick(self.now))
             if n.role == "rostrum" and n.member.leased() and n.member.book["mserial"] < self.acked:
                 self.log("stale-lease", node=n.name, serial=n.member.book["mserial"], acked=self.acked)
-        self.later(TICK, self.tick, name, life)
+        self.later(TICK, self.tick, name, incarnation)
 
     def step(self, n, ev):
         if (
@@ -236,13 +236,13 @@
         at = self.now + (self.rng.randrange(1, 4) * self.slow if to is not n else 0)
         if self.loss:
             return at
-        return self.in_order((n.name, to.name, n.life, to.life), at)
+        return self.in_order((n.name, to.name, n.incarnation, to.incarnation), at)
 
     def arrive(self, src, to, raw):
         if (src, to.name) in self.cuts or to.member is None:
             return
         msg = frames.unpack(raw).ok_value if self.packed else raw
-        self.give(to, to.life, events.Heard(self.now, src, msg))
+        self.give(to, to.incarnation, events.Heard(self.now, src, msg))
 
     # disk, log, operators
 
@@ -273,7 +273,7 @@
         self.log("ask", call=call, node=name, verb=verb, **tell)
         if then:
             self.then[call] = then
-        self.give(n, n.life, events.Asked(self.now, call, verb, body))
+        self.give(n, n.incarnation, events.Asked(self.now, call, verb, body))
         return call
 
     def do_answer(self, n, e):
--- a/basaltport/simulation/routes/attempts.py
+++ b/basaltport/simulation/routes/attempts.py
@@ -44,7 +44,7 @@
         sent_at: int,
     ) -> None:
         """The proxy wants it sent."""
-        self.node, self.life, self.effect = node, node.life, effect
+        self.node, self.incarnation, self.effect = node, node.incarnation, effect
         self.client_try, self.item, self.sent_at = client_try, item, sent_at
         self.written = self.begun = self.over = self.touch = False
         self.replica: replicas.Replica | None = None
@@ -58,7 +58,7 @@
     @property
     def alive(self) -> bool:
         """Whether it is not over and its proxy is still the same process."""
-        return not self.over and self.node.life == self.life
+        return not self.over and self.node.incarnation == self.incarnation
 
 
 class AttemptMixin(fleet_base.FleetBase):
@@ -72,14 +72,14 @@
     def do_attempt(self, node: nodes.Node, effect: proxy_events.Attempt) -> None:
         """Connects to the replica, or takes a connection that is kept, and sends the request."""
         item = node.member.requests[effect.request].item
-        client_try = self.tries[node.name, node.life, effect.request]
+        client_try = self.tries[node.name, node.incarnation, effect.request]
         attempt = SentAttempt(node, effect, client_try, item, self.now)
-        self.attempts[node.name, node.life, effect.attempt] = attempt
+        self.attempts[node.name, node.incarnation, effect.attempt] = attempt
         client_try.attempts.append(attempt)
         attempt.touch = node.name in self.touching
         self.later(effect.left, self.time_out, attempt)
         replica = self.at_place.get(effect.address)
-        connection = (node.name, node.life, effect.address)
+        connection = (node.name, node.incarnation, effect.address)
         if replica is None:
             self.connected.discard(connection)
             self.later(self.rng.randrange(2, 8), self.lose, attempt, "refused to connect")
@@ -213,12 +213,12 @@
         attempt.begun = True
         if not client_try.over and attempt.streams:
             client_try.pieces = max(client_try.pieces, pieces)
-        self.give(node, attempt.life, proxy_events.Progress(self.now, attempt.effect.attempt))
+        self.give(node, attempt.incarnation, proxy_events.Progress(self.now, attempt.effect.attempt))
         if last and not attempt.over:
             attempt.over, attempt.ended_at = True, self.now
             self.client_done(client_try)
             result = outcomes.Result(Outcome.DONE, DONE_STATUS)
-            self.give(node, attempt.life, proxy_events.Ended(self.now, attempt.effect.attempt, result))
+            self.give(node, attempt.incarnation, proxy_events.Ended(self.now, attempt.effect.attempt, result))
 
     def answer(self, attempt: SentAttempt, outcome: outcomes.Outcome, status: int) -> None:
         """A whole answer of the replica is under way to the proxy."""
@@ -238,7 +238,7 @@
         self.ended(attempt)
         result = outcomes.Result(outcome, status, detail, resumes)
         event = proxy_events.Ended(self.now, attempt.effect.attempt, result)
-        self.give(attempt.node, attempt.life, event)
+        self.give(attempt.node, attempt.incarnation, event)
 
     def ended(self, attempt: SentAttempt) -> None:
         """It is over, and its replica soon stops to work on it."""
@@ -264,11 +264,11 @@
 
     def do_abort(self, node: nodes.Node, effect: proxy_events.Abort) -> None:
         """The proxy gives an attempt up."""
-        attempt = self.attempts.get((node.name, node.life, effect.attempt))
+        attempt = self.attempts.get((node.name, node.incarnation, effect.attempt))
         if attempt:
             self.later(0, self.lose, attempt, "stopped")
 
-    def drop_attempts(self, node: nodes.Node, life: int) -> None:
+    def drop_attempts(self, node: nodes.Node, incarnation: int) -> None:
         """The process is gone and its connections with it."""
-        for key in [key for key in self.attempts if key[0] == node.name and key[1] == life]:
+        for key in [key for key in self.attempts if key[0] == node.name and key[1] == incarnation]:
             self.ended(self.attempts.pop(key))
--- a/basaltport/simulation/routes/clients.py
+++ b/basaltport/simulation/routes/clients.py
@@ -61,7 +61,7 @@
 
     def __init__(self, try_id: str, operation: Operation, node: nodes.Node) -> None:
         """It is about to be sent."""
-        self.id, self.operation, self.node, self.life = try_id, operation, node, node.life
+        self.id, self.operation, self.node, self.incarnation = try_id, operation, node, node.incarnation
         self.request, self.over = 0, ""
         self.attempts: list[attempts.SentAttempt] = []
         self.pieces, self.read = operation.pieces, False
@@ -146,7 +146,7 @@
             return
         self.last_request += 1
         client_try.request = self.last_request
-        self.tries[node.name, node.life, client_try.request] = client_try
+        self.tries[node.name, node.incarnation, client_try.request] = client_try
         self.later(self.rng.randrange(1, 5), self.read, client_try, self.arrived(client_try, left))
         self.later(left, self.end_try, client_try, "gone", 0, 0)
         if operation.kind in REPEATABLE:
@@ -161,12 +161,12 @@
     def read(self, client_try: Try, event: proxy_events.Arrived) -> None:
         """The proxy reads the request, if it is still the same process."""
         node = client_try.node
-        if node.life != client_try.life or node.member is None:
+        if node.incarnation != client_try.incarnation or node.member is None:
             self.end_try(client_try, "unread", 0, 0)
             return
         if not node.frozen:
             client_try.read = True
-        self.give(node, client_try.life, event)
+        self.give(node, client_try.incarnation, event)
 
     def unread(self, client_try: Try) -> None:
         """A client that may repeat its request does not wait long for it to be read."""
@@ -181,7 +181,7 @@
         self.record_end(client_try, outcome, status, retry)
         if outcome in ("gone", "unread"):
             left = proxy_events.Left(self.now, client_try.request)
-            self.give(client_try.node, client_try.life, left)
+            self.give(client_try.node, client_try.incarnation, left)
         operation = client_try.operation
         resumed = operation.kind == "resume"
         operation.pieces = max(operation.pieces, client_try.pieces) if resumed else 0
@@ -228,7 +228,7 @@
 
     def try_of(self, node: nodes.Node, request: int) -> Try | None:
         """The client's side of a request that a proxy has."""
-        return self.tries.get((node.name, node.life, request))
+        return self.tries.get((node.name, node.incarnation, request))
 
     def do_close(self, node: nodes.Node, effect: proxy_events.Close) -> None:
         """The proxy answers by itself."""
@@ -245,6 +245,6 @@
 
     def cut_clients(self, node: nodes.Node) -> None:
         """The process ended: its clients see closed connections."""
-        for (name, life, _), client_try in list(self.tries.items()):
-            if name == node.name and life == node.life and not client_try.over:
+        for (name, incarnation, _), client_try in list(self.tries.items()):
+            if name == node.name and incarnation == node.incarnation and not client_try.over:
                 self.later(2, self.end_try, client_try, "cut" if client_try.read else "unread", 0, 0)
--- a/basaltport/simulation/routes/control_checks.py
+++ b/basaltport/simulation/routes/control_checks.py
@@ -106,11 +106,11 @@
     """In one life of a controller no older configuration comes into force."""
     findings, newest = [], dict[tuple[str, int], int]()
     for row in trace.of_kind(rows, process_rows.Kept):
-        life = row.node, row.life
-        if row.edition < newest.get(life, 0):
+        incarnation = row.node, row.incarnation
+        if row.edition < newest.get(incarnation, 0):
             text = f"{row.node} went from {newest[life]} to {row.edition}"
             findings.append(Finding("keeper-back", row.at_ms, text))
-        newest[life] = row.edition
+        newest[incarnation] = row.edition
     return findings
 
 
--- a/basaltport/simulation/routes/control_world.py
+++ b/basaltport/simulation/routes/control_world.py
@@ -43,11 +43,11 @@
     def look_at_controller(self, node: nodes.Node) -> None:
         """Tells of a configuration that came in force."""
         document = node.member.book["manifest"]
-        if document is None or document is self.kept_shown.get((node.name, node.life)):
+        if document is None or document is self.kept_shown.get((node.name, node.incarnation)):
             return
-        self.kept_shown[node.name, node.life] = document
+        self.kept_shown[node.name, node.incarnation] = document
         edition, change = document["edition"], document["by"]
-        self.record(process_rows.Kept, node.name, node.life, edition, change)
+        self.record(process_rows.Kept, node.name, node.incarnation, edition, change)
 
     def look_at_holders(self) -> None:
         """Whenever it changes: who holds, with which edition in force, and what is acknowledged by then."""
@@ -86,7 +86,7 @@
         """It is gone for good, with its disk."""
         self.kill(name, power=True)
         node = self.nodes.pop(name)
-        node.member, node.life = None, node.life + 1
+        node.member, node.incarnation = None, node.incarnation + 1
         self.core.discard(name)
         self.core_upset = self.now
 
--- a/basaltport/simulation/routes/fleet_world.py
+++ b/basaltport/simulation/routes/fleet_world.py
@@ -107,7 +107,7 @@
     def boot(self, name: str, first: bool = False) -> None:
         """Starts a process."""
         super().boot(name, first)
-        self.record(process_rows.Boot, name, self.nodes[name].life)
+        self.record(process_rows.Boot, name, self.nodes[name].incarnation)
         self.disturb(name)
 
     def kill(self, name: str, power: bool = False, disk: bool = False) -> None:
@@ -119,9 +119,9 @@
         self.disturb(name)
         if node.disk is None:
             self.cut_clients(node)
-            life = node.life
-            node.member, node.life, node.held = None, node.life + 1, []
-            self.drop_attempts(node, life)
+            incarnation = node.incarnation
+            node.member, node.incarnation, node.held = None, node.incarnation + 1, []
+            self.drop_attempts(node, incarnation)
             return
         super().kill(name, power, disk)
 
@@ -161,14 +161,14 @@
         self.record(process_rows.Stop, name)
         self.step(node, events.Stop(self.now))
         end = self.now + MS_PER_S * self.timings.grace_s - GRACE_SLACK_MS
-        self.later(DRAIN_CONNECTIONS_MS, self.restart_when_drained, node, node.life, end, after)
+        self.later(DRAIN_CONNECTIONS_MS, self.restart_when_drained, node, node.incarnation, end, after)
 
-    def restart_when_drained(self, node: nodes.Node, life: int, end: int, after: int) -> None:
+    def restart_when_drained(self, node: nodes.Node, incarnation: int, end: int, after: int) -> None:
         """Restarts a proxy that is asked to end once it has no requests, or its time is over."""
-        if node.life != life:
+        if node.incarnation != incarnation:
             return
         if node.member.requests and self.now < end:
-            self.later(END_CHECK_MS, self.restart_when_drained, node, life, end, after)
+            self.later(END_CHECK_MS, self.restart_when_drained, node, incarnation, end, after)
             return
         self.restart(node.name, after=after)
 
@@ -237,10 +237,10 @@
         if node.name[0] != "p" or node.member is None:
             return
         shown = node.member.book["manifest"]
-        if shown is not self.shown_document.get((node.name, node.life)):
-            self.shown_document[node.name, node.life] = shown
+        if shown is not self.shown_document.get((node.name, node.incarnation)):
+            self.shown_document[node.name, node.incarnation] = shown
             edition, change = shown["edition"], shown["by"]
-            self.record(process_rows.Edition, node.name, node.life, edition, change)
+            self.record(process_rows.Edition, node.name, node.incarnation, edition, change)
 
     # begin
 
--- a/basaltport/simulation/routes/nodes.py
+++ b/basaltport/simulation/routes/nodes.py
@@ -59,7 +59,12 @@
         super().__init__(seed)
         self.packed = packed
         self.lossy = 0.0
-        self.reordering, self.doubling, self.delay_max, self.across_lives = False, 0.0, DELAY_MAX_MS, False
+        self.reordering, self.doubling, self.delay_max, self.across_incarnations = (
+            False,
+            0.0,
+            DELAY_MAX_MS,
+            False,
+        )
         self.agreed: dict[int, typing.Any] = {}
         self.answers: dict[str, typing.Any] = {}
         self.n = 0
@@ -103,9 +108,9 @@
         """Starts a process; with `first` nothing can have been agreed before."""
         node = self.nodes[name]
         node.member = self.start_controller(node, first) if node.disk else self.start_proxy(node)
-        node.life, node.frozen, node.held, node.book = node.life + 1, False, [], None
+        node.incarnation, node.frozen, node.held, node.book = node.incarnation + 1, False, [], None
         self.started(node)
-        self.tick(node, node.life)
+        self.tick(node, node.incarnation)
 
     def start_controller(self, node: Node, first: bool) -> processes.Reducer:
         """A controller's reducer, with what its disk holds."""
@@ -156,7 +161,7 @@
     def kill(self, name: str, power: bool = False, disk: bool = False) -> None:
         """The process ends; with `power` the bytes that are not synced go too, with `disk` the whole disk."""
         node = self.nodes[name]
-        node.member, node.life = None, node.life + 1
+        node.member, node.incarnation = None, node.incarnation + 1
         if node.disk is None:
             return
         if disk:
@@ -189,13 +194,13 @@
             self.step(node, events.Tick(self.clock(node)))
             self.deliver_late(node, held)
 
-    def tick(self, node: Node, life: int) -> None:
+    def tick(self, node: Node, incarnation: int) -> None:
         """The timer of a process."""
-        if node.life != life:
+        if node.incarnation != incarnation:
             return
         if not node.frozen:
             self.step(node, events.Tick(self.clock(node)))
-        self.later(TICK_MS, self.tick, node, life)
+        self.later(TICK_MS, self.tick, node, incarnation)
 
     def step(self, node: Node, event: processes.Event) -> None:
         """One step of a reducer, with its effects; then the state that it agreed to is checked."""
@@ -285,13 +290,13 @@
             self.bytes += len(raw)
             message = frames.unpack(raw).unwrap()
         if (node.name, receiver.name) in self.cuts:
-            self.keep(self.arrive, node, receiver, receiver.life, message)
+            self.keep(self.arrive, node, receiver, receiver.incarnation, message)
             return
         if self.rng.random() < self.lossy:
             return
         twice = self.doubling and self.rng.random() < self.doubling
         for sent in (message, copy.copy(message)) if twice else (message,):
-            self.later(self.delay(node, receiver), self.arrive, node, receiver, receiver.life, sent)
+            self.later(self.delay(node, receiver), self.arrive, node, receiver, receiver.incarnation, sent)
 
     def delay(self, node: Node, receiver: Node) -> float:
         """Ms that a message is under way."""
@@ -300,14 +305,14 @@
             return delay
         return self.in_order((node.name, receiver.name), self.now + delay) - self.now
 
-    def arrive(self, node: Node, receiver: Node, life: int, message: object) -> None:
+    def arrive(self, node: Node, receiver: Node, incarnation: int, message: object) -> None:
         """A message reaches the receiver, if the process that it was sent to still runs."""
-        if self.across_lives:
-            life = receiver.life
+        if self.across_incarnations:
+            incarnation = receiver.incarnation
         if (node.name, receiver.name) in self.cuts:
-            self.keep(self.arrive, node, receiver, life, message)
+            self.keep(self.arrive, node, receiver, incarnation, message)
             return
-        self.give(receiver, life, events.Heard(self.now, "", message))
+        self.give(receiver, incarnation, events.Heard(self.now, "", message))
 
     def do_note(self, node: Node, effect: events.Note) -> None:
         """Keeps an event that the member logs."""
@@ -321,7 +326,7 @@
         call = f"c{self.n}"
         self.answers[call] = None
         node = self.nodes[name]
-        self.give(node, node.life, events.Asked(self.now, call, verb, body))
+        self.give(node, node.incarnation, events.Asked(self.now, call, verb, body))
         return call
 
     def do_answer(self, node: Node, effect: events.Answer) -> None:
--- a/basaltport/simulation/routes/operator.py
+++ b/basaltport/simulation/routes/operator.py
@@ -53,7 +53,7 @@
         self.answers[call] = None
         node = self.nodes[name]
         event = events.Asked(self.now, call, verb, body)
-        self.later(self.rng.randrange(1, LINK_MS), self.give, node, node.life, event)
+        self.later(self.rng.randrange(1, LINK_MS), self.give, node, node.incarnation, event)
         return call
 
     def order_change(
--- a/basaltport/simulation/routes/operator_checks.py
+++ b/basaltport/simulation/routes/operator_checks.py
@@ -43,11 +43,11 @@
     """Proxies that took up an older configuration than they had in the same life."""
     findings, newest = [], dict[tuple[str, int], int]()
     for row in trace.of_kind(rows, process_rows.Edition):
-        life = row.node, row.life
-        if row.edition < newest.get(life, 0):
+        incarnation = row.node, row.incarnation
+        if row.edition < newest.get(incarnation, 0):
             text = f"{row.node} went from {newest[life]} to {row.edition}"
             findings.append(Finding("back", row.at_ms, text))
-        newest[life] = row.edition
+        newest[incarnation] = row.edition
     return findings
 
 
--- a/basaltport/simulation/routes/process_rows.py
+++ b/basaltport/simulation/routes/process_rows.py
@@ -11,7 +11,7 @@
 
     KIND = "boot"
     node: str
-    life: int
+    incarnation: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -125,7 +125,7 @@
 
     KIND = "edition"
     node: str
-    life: int
+    incarnation: int
     edition: int
     change: str
 
@@ -136,7 +136,7 @@
 
     KIND = "kept"
     node: str
-    life: int
+    incarnation: int
     edition: int
     change: str
 
--- a/basaltport/simulation/routes/replicas.py
+++ b/basaltport/simulation/routes/replicas.py
@@ -259,7 +259,7 @@
         rows = [dict(row) for row in self.listed_before(self.lag)]
         ok = not self.list_down
         event = events.Listed(self.now, ok, rows if ok else [])
-        self.later(self.rng.randrange(3, 25), self.give, node, node.life, event)
+        self.later(self.rng.randrange(3, 25), self.give, node, node.incarnation, event)
 
     # orders and reports
 
@@ -267,10 +267,12 @@
         """Not sent where another may lead by now, as in the shell."""
         node.member.now = max(node.member.now, self.now)
         if not node.member.owns(effect.replica, effect.fence):
-            self.order_ended(node, node.life, effect, "failed", self.now)
+            self.order_ended(node, node.incarnation, effect, "failed", self.now)
             return
-        sent_at, life = self.now, node.life
-        self.reach(node, effect.address, lambda replica: self.ordered(node, life, effect, replica, sent_at))
+        sent_at, incarnation = self.now, node.incarnation
+        self.reach(
+            node, effect.address, lambda replica: self.ordered(node, incarnation, effect, replica, sent_at)
+        )
 
     def reach(self, node: nodes.Node, address: str, reached: Reached) -> None:
         """Calls `reached` with the replica there after a link's delay; with None where there is none, and
@@ -286,7 +288,7 @@
     def ordered(
         self,
         node: nodes.Node,
-        life: int,
+        incarnation: int,
         order: effects.Order,
         replica: Replica | Silence | None,
         sent_at: int,
@@ -294,37 +296,37 @@
         """An order reaches a replica, or does not."""
         if isinstance(replica, Silence) or replica is not None and replica.dark:
             rest = max(1, CALL_TIMEOUT_MS - (self.now - sent_at))
-            self.later(rest, self.order_ended, node, life, order, "unknown", sent_at)
+            self.later(rest, self.order_ended, node, incarnation, order, "unknown", sent_at)
             return
         if replica is None or self.at_place.get(order.address) is not replica:
-            self.order_ended(node, life, order, "failed", sent_at)
+            self.order_ended(node, incarnation, order, "failed", sent_at)
             return
         if replica.id != order.replica:
-            self.later(2, self.order_ended, node, life, order, "moved", sent_at)
+            self.later(2, self.order_ended, node, incarnation, order, "moved", sent_at)
             return
         fence = int(order.fence)
         self.record(replica_rows.Order, replica.id, order.holder, fence, order.kind, node.name)
         outcome = replica.order(order)
         if (replica.id, node.name) in self.cuts or self.rng.random() < self.lost_answers:
-            self.later(CALL_TIMEOUT_MS, self.order_ended, node, life, order, "unknown", sent_at)
+            self.later(CALL_TIMEOUT_MS, self.order_ended, node, incarnation, order, "unknown", sent_at)
             return
         delay = self.rng.randrange(1, 8)
-        self.later(delay, self.order_ended, node, life, order, outcome, sent_at)
+        self.later(delay, self.order_ended, node, incarnation, order, outcome, sent_at)
 
     def order_ended(
-        self, node: nodes.Node, life: int, order: effects.Order, outcome: str, sent_at: int
+        self, node: nodes.Node, incarnation: int, order: effects.Order, outcome: str, sent_at: int
     ) -> None:
         """The controller hears what came of its order."""
         event = events.Ordered(self.now, order.order, outcome, self.now - sent_at)
-        self.later(0, self.give, node, life, event)
+        self.later(0, self.give, node, incarnation, event)
 
     def do_report(self, node: nodes.Node, effect: effects.Report) -> None:
         """A controller asks a replica what it holds."""
-        life = node.life
-        self.reach(node, effect.address, lambda replica: self.report(node, life, effect, replica))
+        incarnation = node.incarnation
+        self.reach(node, effect.address, lambda replica: self.report(node, incarnation, effect, replica))
 
     def report(
-        self, node: nodes.Node, life: int, effect: effects.Report, replica: Replica | Silence | None
+        self, node: nodes.Node, incarnation: int, effect: effects.Report, replica: Replica | Silence | None
     ) -> None:
         """The replica answers as it was a little earlier, or nobody answers."""
         silent = isinstance(replica, Silence) or replica is not None and replica.dark
@@ -333,7 +335,7 @@
         row = next((row for row in rows if row["id"] == effect.replica), None)
         body = {"models": row["models"], "busy": row["busy"], "orders": row["taken"]} if row else {}
         event = events.Reported(self.now, effect.replica, bool(row), body)
-        self.later(CALL_TIMEOUT_MS if silent else REPORT_MS, self.give, node, life, event)
+        self.later(CALL_TIMEOUT_MS if silent else REPORT_MS, self.give, node, incarnation, event)
 
 
 def spread(models: list[str], replicas: int, each: int) -> list[list[str]]:
--- a/tests/controllers.py
+++ b/tests/controllers.py
@@ -18,10 +18,10 @@
         return parts.Proxy(me, seed, self.now)
 
     def do_list(self, n, e):
-        self.later(20, self.list, n, n.life)
+        self.later(20, self.list, n, n.incarnation)
 
-    def list(self, n, life):
-        self.give(n, life, role_events.Listed(self.now, True, [dict(r) for r in self.listing]))
+    def list(self, n, incarnation):
+        self.give(n, incarnation, role_events.Listed(self.now, True, [dict(r) for r in self.listing]))
 
     def do_order(self, n, e):
         for t, name, fence in self.orders[-1:]:
--- a/tests/crash_files.py
+++ b/tests/crash_files.py
@@ -97,7 +97,7 @@
         self.names: dict[str, tuple[int | None, ...]] = {"/": (FOLDER_MARK,)}
         self.inodes: dict[int, Inode] = {}
         self.fates: dict[str, int | None] = {}
-        self.life = 0
+        self.incarnation = 0
         self.dead = False
         self.operations = 0
         self.kill_at: int | None = None
@@ -123,7 +123,7 @@
     def restart(self) -> None:
         """A new process on what the ended one left, synced or not."""
         self.dead, self.kill_at, self.kill_before = False, None, []
-        self.life += 1
+        self.incarnation += 1
 
     def operate(self, label: str) -> None:
         """Called before each operation that changes something."""
@@ -284,7 +284,7 @@
 
     def __init__(self, files: Files, number: int, path: str, append: bool) -> None:
         self.files, self.number, self.path, self.append = files, number, path, append
-        self.life = files.life
+        self.incarnation = files.incarnation
         self.at = 0
         self.was_short = False
 
@@ -321,7 +321,7 @@
 
     def write(self, buffer: typing.Any) -> int:
         data = bytes(buffer)
-        if self.files.dead or self.life != self.files.life:
+        if self.files.dead or self.incarnation != self.files.incarnation:
             return len(data)
         label = f"write {self.path}"
         try:
--- a/tests/fleet_stand.py
+++ b/tests/fleet_stand.py
@@ -48,7 +48,9 @@
     def do_report(self, n, e):
         models = next(r["models"] for r in self.listing if r["id"] == e.replica)
         report = {"models": models, "busy": False, "orders": 0}
-        self.later(5, self.give, n, n.life, controller_events.Reported(self.now, e.replica, True, report))
+        self.later(
+            5, self.give, n, n.incarnation, controller_events.Reported(self.now, e.replica, True, report)
+        )
 
 
 class Thread:
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -58,22 +58,22 @@
     def do_order(self, n, e):
         """As the shell: asked again whether it may right before it sends, which may be long after."""
         late = self.rng.randrange(0, 100 if self.rng.random() < 0.1 else 3)
-        self.later(late, self.begin, n, n.life, e)
+        self.later(late, self.begin, n, n.incarnation, e)
 
-    def begin(self, n, life, e):
-        if n.life != life or n.member is None:
+    def begin(self, n, incarnation, e):
+        if n.incarnation != incarnation or n.member is None:
             return
         if n.frozen:
-            self.stuck.append((n, life, e))
+            self.stuck.append((n, incarnation, e))
             return
         n.member.now = max(n.member.now, self.now)
         if not n.member.owns(e.replica, e.fence):
-            self.give(n, life, role_events.Ordered(self.now, e.order, "failed", 0))
+            self.give(n, incarnation, role_events.Ordered(self.now, e.order, "failed", 0))
             return
         self.check(n, e)
         took = self.rng.randrange(2, 1000 if self.rng.random() < 0.1 else 30)
         self.under_way.setdefault(e.replica, {})[n.name] = self.now + took
-        self.later(took, self.give, n, life, role_events.Ordered(self.now, e.order, "done", took))
+        self.later(took, self.give, n, incarnation, role_events.Ordered(self.now, e.order, "done", took))
 
     def check(self, n, e):
         last = self.sent.setdefault(e.replica, [])
@@ -98,7 +98,7 @@
     def do_send(self, n, e):
         if isinstance(e.msg, messages.OrderRequest) and self.rng.random() < self.slow:
             to = self.by_addr[e.addr]
-            self.later(self.rng.randrange(100, 900), self.arrive, n, to, to.life, e.msg)
+            self.later(self.rng.randrange(100, 900), self.arrive, n, to, to.incarnation, e.msg)
             return
         super().do_send(n, e)
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -153,7 +153,7 @@
 
 def test_rows_stay_until_a_new_leader_has_read_the_list():
     w, (p, _) = world()
-    w.do_list = lambda n, e: w.later(2000, w.list, n, n.life)
+    w.do_list = lambda n, e: w.later(2000, w.list, n, n.incarnation)
     w.listing = [{"id": "r2"}]
     w.kill(w.leader())
     w.until(lambda: w.leader() and p.feed_gen == lead(w).current_term, 4000)
@@ -179,7 +179,7 @@
     w, (p, _) = world()
     w.run(1500)
     assert p.proxies == 2
-    w.nodes["p2"].member, w.nodes["p2"].life = None, 99
+    w.nodes["p2"].member, w.nodes["p2"].incarnation = None, 99
     w.run(4500)
     assert p.proxies == 1 and set(lead(w).proxies) == {"p1"}
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -34,8 +34,8 @@
         "house", name, n.seat, "ledger", "z", n.addr, "", w.seeds, 0, voters="ledgers", founders=[]
     )
     n.member = role.Controller(me, 7, w.now, None, identifiers.Term(), w.placement())
-    n.life += 1
-    w.tick(n, n.life)
+    n.incarnation += 1
+    w.tick(n, n.incarnation)
 
 
 @pytest.mark.parametrize("members", [3, 5])
--- a/tests/test_mutations.py
+++ b/tests/test_mutations.py
@@ -128,9 +128,9 @@
     return events.AttemptEnded(self.now, e.attempt_id, "done", 200)
 
 
-def _reply_other(self, n, life, e, st):
+def _reply_other(self, n, incarnation, e, st):
     e.body = {**e.body, "prompt": "p1"}
-    _reply(self, n, life, e, st)
+    _reply(self, n, incarnation, e, st)
 
 
 _settle = read_index.ReadIndexMixin.settle
