--- a/basaltport/simulation/routes/attempts.py
+++ b/basaltport/simulation/routes/attempts.py
@@ -167,7 +167,7 @@
         attempt.pieces += 1
         last = attempt.pieces >= PIECES
         if last:
-            self.free_slot(attempt, replica)
+            self.release_slot(attempt, replica)
         self.later(self.rng.randrange(1, 6), self.passed, attempt, attempt.pieces, last)
         if not last:
             self.later(int(attempt.piece_ms), self.piece, attempt, replica)
@@ -176,13 +176,13 @@
         """An answer of failure, or one that breaks off."""
         if not self.runs_on(attempt, replica):
             return
-        self.free_slot(attempt, replica)
+        self.release_slot(attempt, replica)
         if self.rng.random() < FAILS_WITH_ANSWER:
             self.answer(attempt, Outcome.FAILED, FAILED_STATUS)
             return
         self.lose(attempt, "torn")
 
-    def free_slot(self, attempt: SentAttempt, replica: "replicas.Replica") -> None:
+    def release_slot(self, attempt: SentAttempt, replica: "replicas.Replica") -> None:
         """Out of its slot; who waits there longest begins."""
         if replica.running.pop(id(attempt), None) is None:
             if attempt in replica.queue:
@@ -244,7 +244,7 @@
         """It is over, and its replica soon stops to work on it."""
         attempt.over, attempt.ended_at = True, self.now
         if attempt.replica is not None:
-            self.later(1, self.free_slot, attempt, attempt.replica)
+            self.later(1, self.release_slot, attempt, attempt.replica)
 
     def lose(self, attempt: SentAttempt, why: str, late: bool = False) -> None:
         """Tells what is proven of a connection that is lost, as the proxy's shell does."""
