--- a/basaltport/messages.py
+++ b/basaltport/messages.py
@@ -5,10 +5,15 @@
 import dataclasses
 import typing
 
+import basaltport.consensus.log as log
+import basaltport.consensus.state_machine as state_machine
 import basaltport.identifiers as identifiers
 
 Document = dict[str, typing.Any]
 Rows = list[typing.Any]
+Entries = list[log.LogEntry]
+StateCopy = state_machine.ReplicatedState | None
+FeedState = state_machine.ClusterState | None
 
 
 class Message(typing.Protocol):
@@ -89,7 +94,7 @@
 
     gen: identifiers.Term
     seat: identifiers.MemberId
-    copy: Document
+    copy: StateCopy
 
 
 @message(6)
@@ -105,8 +110,8 @@
     cgen: identifiers.Term
     pgen: identifiers.Term
     pserial: identifiers.LogIndex
-    entries: Rows
-    copy: Document
+    entries: Entries
+    copy: StateCopy
     age: identifiers.Millis
     echo: int
 
--- a/basaltport/query_api/admin/leader_requests.py
+++ b/basaltport/query_api/admin/leader_requests.py
@@ -8,7 +8,8 @@
 
 import basaltport.configuration.check as check
 import basaltport.configuration.patch as patch
-import basaltport.consensus.book as cluster_book
+import basaltport.consensus.codec as codec
+import basaltport.consensus.state_machine as state_machine
 import basaltport.identifiers as identifiers
 import basaltport.log_events as log_events
 import basaltport.query_api.admin.operator_requests as operator_requests
@@ -38,7 +39,7 @@
     """What `LeaderRequestsMixin` needs of the leader it is part of; see `consensus.lead`."""
 
     leading: bool
-    tip_book: Document
+    tip_book: state_machine.ClusterState
     waiting: list[Document]
     reads: list[Document]
     heartbeat_sent_at_ms: int
@@ -99,7 +100,9 @@
         waiting["serial"] = self.append(operation)
         self.waiting.append(waiting)
 
-    def operations(self) -> dict[str, collections.abc.Callable[[Document, Document], Operation]]:
+    def operations(
+        self,
+    ) -> dict[str, collections.abc.Callable[[state_machine.ClusterState, Document], Operation]]:
         """What makes the operation of a change, by verb."""
         return {
             "apply": self.apply_operation,
@@ -110,12 +113,12 @@
             "platform": self.platform_operation,
         }
 
-    def apply_operation(self, state: Document, body: Document) -> Operation:
+    def apply_operation(self, state: state_machine.ClusterState, body: Document) -> Operation:
         """A whole manifest."""
         manifest = body.get("manifest")
         return self.manifest_op(state, body, manifest, {"op": "manifest", "manifest": manifest})
 
-    def patch_operation(self, state: Document, body: Document) -> Operation:
+    def patch_operation(self, state: state_machine.ClusterState, body: Document) -> Operation:
         """A merge patch of the manifest."""
         changes = body.get("patch")
         if not isinstance(changes, dict):
@@ -124,7 +127,7 @@
         return self.manifest_op(state, body, merged, {"op": "patch", "patch": changes})
 
     def manifest_op(
-        self, state: Document, body: Document, manifest: object, operation: Document
+        self, state: state_machine.ClusterState, body: Document, manifest: object, operation: Document
     ) -> Operation:
         """The operation, unless the manifest is at another version than the change is for, or is faulty."""
         version = body.get("if_serial")
@@ -138,29 +141,29 @@
             return Refused(http.HTTPStatus.UNPROCESSABLE_ENTITY, checked.err_value)
         return operation
 
-    def zone_operation(self, state: Document, body: Document, name: str) -> Operation:
+    def zone_operation(self, state: state_machine.ClusterState, body: Document, name: str) -> Operation:
         """An operation on a zone of the manifest."""
         zone = body.get("zone")
         if zone not in ((state["manifest"] or {}).get("zones") or {}):
             return refused("zone", f"no zone {zone!r} in the manifest")
         return {"op": name, "zone": zone}
 
-    def drain_operation(self, state: Document, body: Document) -> Operation:
+    def drain_operation(self, state: state_machine.ClusterState, body: Document) -> Operation:
         """Evacuate a zone."""
         return self.zone_operation(state, body, "drain")
 
-    def undrain_operation(self, state: Document, body: Document) -> Operation:
+    def undrain_operation(self, state: state_machine.ClusterState, body: Document) -> Operation:
         """Use a zone again."""
         return self.zone_operation(state, body, "undrain")
 
-    def leaving_operation(self, state: Document, body: Document) -> Operation:
+    def leaving_operation(self, state: state_machine.ClusterState, body: Document) -> Operation:
         """A replica is leaving."""
         replica = body.get("replica")
         if replica not in state["platform"]:
             return refused("replica", f"no replica {replica!r} in the list")
         return {"op": "leaving", "replica": replica}
 
-    def platform_operation(self, state: Document, body: Document) -> Operation:
+    def platform_operation(self, state: state_machine.ClusterState, body: Document) -> Operation:
         """The list of replicas."""
         checked = check.platform(body.get("replicas"))
         if isinstance(checked, result.Err):
@@ -206,7 +209,7 @@
 
     def read_history(self) -> Document:
         """The last changes."""
-        return {"history": self.book["history"]}
+        return {"history": [codec.encode_history_record(row) for row in self.book.history]}
 
     def read_change(self, change: object) -> tuple[int, Document]:
         """What became of a change."""
@@ -223,7 +226,7 @@
         return {
             "serial": state["serial"],
             "manifest_serial": state["mserial"],
-            "generation": list(cluster_book.gen(state)),
+            "generation": list(state.term),
             "leader": self.me.name,
             "seats": len(members),
             "ledgers": len(state["ledgers"]),
@@ -233,7 +236,7 @@
                 role: members.get(owner["owner"], {}).get("name", "lost")
                 for role, owner in state["duties"].items()
             },
-            "digest": cluster_book.digest(state),
+            "digest": codec.digest(state),
         }
 
     def read_members(self) -> Document:
--- a/basaltport/query_api/admin/operator_requests.py
+++ b/basaltport/query_api/admin/operator_requests.py
@@ -6,6 +6,7 @@
 import result
 
 import basaltport.configuration.check as check
+import basaltport.consensus.state_machine as state_machine
 import basaltport.events as events
 import basaltport.identifiers as identifiers
 import basaltport.log_events as log_events
@@ -65,7 +66,7 @@
 
     me: member.Me
     now: identifiers.Millis
-    book: Document
+    book: state_machine.ClusterState
     leader: typing.Any
     heard_at: int
     members: dict[str, Document]
--- a/tests/test_mutations.py
+++ b/tests/test_mutations.py
@@ -1,5 +1,7 @@
 """Each check is seen to fail: one safety rule of the daemons is broken, and its check must say so."""
 
+import dataclasses
+
 import pytest
 
 import basaltport.query_api.admin.leader_requests as leader_requests
@@ -61,11 +63,10 @@
 
 def _alone(self):
     """Agreed by the leader's own disk."""
-    for e in self.tail:
-        e["g"] = list(self.current_term)
+    self.tail = [dataclasses.replace(e, term=self.current_term) for e in self.tail]
     if self.tail:
         last = self.tail[-1]
-        self.advance(last["s"], self.current_term)
+        self.advance(last.index, self.current_term)
         for w in self.waiting:
             w["committed"] = self.now
 
@@ -159,7 +160,7 @@
     ("emptied", "zone-emptied", 1, [(cell.CellMixin, "may_use", _use_all)]),
     ("in-force", "core-split", 1, [(follower.FollowerMixin, "leased", _leased)]),
     ("in-force", "storm", 1, [(READ_INDEX, "settle", _hasty)]),
-    ("in-force", "power-cut", 5, [(follower_lease.LeaseGrantMixin, "ack_to_return", _eager_lease)]),
+    ("in-force", "power-cut", 5, [(follower_lease.LeaseGrantMixin, "echo_for", _eager_lease)]),
     (
         "in-force",
         "ledgers-dying",
