--- a/basaltport/consensus/membership.py
+++ b/basaltport/consensus/membership.py
@@ -82,10 +82,10 @@
         for s in sorted(roster):
             if roster[s]["addr"] == row["addr"]:
                 return s
-        lost = [s for s in roster if self.is_lost(s)]
+        lost = [s for s in roster if self.is_lost_member(s)]
         return min(lost, key=lambda s: (roster[s]["name"] != row["name"], self.drop_order(s)), default=None)
 
-    def is_lost(self, s):
+    def is_lost_member(self, s):
         """Whether a seat said lately that it leaves, or was not heard for long."""
         if s == self.me.seat:
             return False
@@ -98,7 +98,7 @@
 
     def drop_member(self, roster):
         """Lost seats go, one at a time, where without them more losses are borne."""
-        lost = [s for s in roster if self.is_lost(s)]
+        lost = [s for s in roster if self.is_lost_member(s)]
         if not lost or not leaving.worth_dropping(len(roster), len(roster) - len(lost)):
             return False
         s = min(lost, key=self.drop_order)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -58,9 +58,9 @@
     leader = w.nodes[w.leader()].member
     seat = w.nodes[others(w)[0]].seat
     leader.gone[seat] = leader.now
-    assert leader.is_lost(seat)
+    assert leader.is_lost_member(seat)
     leader.gone[seat] = leader.now - timing.LEAVE_WAIT
-    assert not leader.is_lost(seat)
+    assert not leader.is_lost_member(seat)
 
 
 def different(edition):
