--- a/tests/model_mutations.py
+++ b/tests/model_mutations.py
@@ -115,13 +115,10 @@
 
 def campaign_in_old_term(self):
     """The member's name alone makes its term."""
-    current_term, self.current_term = (
-        self.current_term,
-        identifiers.Term(max(0, self.current_term.count - 1), ""),
-    )
+    term, self.current_term = self.current_term, identifiers.Term(max(0, self.current_term.count - 1), "")
     campaign_as_is(self)
     if not self.candidacy:
-        self.current_term = current_term
+        self.current_term = term
 
 
 campaign_as_is = election.ElectionMixin.start_candidacy
@@ -275,13 +272,13 @@
     Mutation(
         "a term led twice",
         {Rule.TERM},
-        [(election.ElectionMixin, "campaign", campaign_in_old_term)],
+        [(election.ElectionMixin, "start_candidacy", campaign_in_old_term)],
         range(16, 40),
     ),
     Mutation(
         "lead without the newest log",
         {Rule.AGREED},
-        [(election.ElectionMixin, "weigh", win_without_fetch)],
+        [(election.ElectionMixin, "count_votes", win_without_fetch)],
         range(1, 60),
     ),
     Mutation(
@@ -307,7 +304,7 @@
     Mutation(
         "acknowledgement before the sync",
         {Rule.SYNCED},
-        [(follower.FollowerMixin, "ack_for", ack_of_unsynced)],
+        [(follower.FollowerMixin, "heartbeat_ack", ack_of_unsynced)],
         range(1, 9),
     ),
     Mutation(
@@ -332,7 +329,7 @@
     Mutation(
         "replacement in one step",
         {Rule.AGREED, Rule.HISTORY},
-        [(membership.MembershipMixin, "add_seat", add_in_one_step)],
+        [(membership.MembershipMixin, "add_member", add_in_one_step)],
         range(2, 60, 2),
         random_search.living_name,
     ),
@@ -348,7 +345,7 @@
         {Rule.BACK},
         [
             (snapshot_transfer.SnapshotTransferMixin, "install", install_older),
-            (replication.ReplicationMixin, "load_for", feed_old_copies),
+            (replication.ReplicationMixin, "payload_for", feed_old_copies),
             (follower.FollowerMixin, "in_order", always),
         ],
         range(1, 40),
@@ -391,7 +388,7 @@
     Mutation(
         "nobody stands for election",
         {Rule.MAJORITY},
-        [(election.ElectionMixin, "canvass", nothing)],
+        [(election.ElectionMixin, "start_pre_vote", nothing)],
         range(1, 40),
     ),
     Mutation(
--- a/tests/test_control_scenarios.py
+++ b/tests/test_control_scenarios.py
@@ -154,7 +154,7 @@
     (
         "caught-up",
         "two-megabytes-over-a-slow-link",
-        [(replication.ReplicationMixin, "load_for", _sends_no_copy)],
+        [(replication.ReplicationMixin, "payload_for", _sends_no_copy)],
     ),
 ]
 
--- a/tests/test_mutations.py
+++ b/tests/test_mutations.py
@@ -160,7 +160,7 @@
     ("emptied", "zone-emptied", 1, [(cell.CellMixin, "may_use", _use_all)]),
     ("in-force", "core-split", 1, [(follower.FollowerMixin, "leased", _leased)]),
     ("in-force", "storm", 1, [(READ_INDEX, "settle", _hasty)]),
-    ("in-force", "power-cut", 5, [(follower_lease.LeaseGrantMixin, "echo_for", _eager_lease)]),
+    ("in-force", "power-cut", 5, [(follower_lease.LeaseGrantMixin, "ack_to_return", _eager_lease)]),
     (
         "in-force",
         "ledgers-dying",
