--- a/basaltport/query_api/admin/leader_requests.py
+++ b/basaltport/query_api/admin/leader_requests.py
@@ -68,11 +68,8 @@
 class LeaderRequestsMixin(operator_requests.OperatorRequestsMixin, Interface):
     """A change is acknowledged once it is committed and in force at every leased node."""
 
-    def serve(self, src: str | None, call: str, verb: str, body: Document) -> None:
+    def serve_as_leader(self, src: str | None, call: str, verb: str, body: Document) -> None:
         """Take a request; reads wait for a majority to confirm that this member still leads."""
-        if not self.leading or not self.settled():
-            super().serve(src, call, verb, body)
-            return
         if verb in operator_requests.READS:
             self.reads.append({"n": self.n, "src": src, "call": call, "verb": verb, "body": body})
             self.heartbeat_sent_at_ms = -(10**9)
@@ -174,7 +171,7 @@
         """Answer a change that is in force at every leased node."""
         log_index = int(w["serial"])
         body = {"outcome": "acknowledged", "serial": log_index, "change": w["change"]}
-        self.note(log_events.Event.CHANGE_ACKNOWLEDGED, serial=log_index, change=w["change"])
+        self.note(log_events.Event.CHANGE_ACKNOWLEDGED, log_index=log_index, change_id=w["change"])
         self.respond(w["src"], w["call"], http.HTTPStatus.OK, body)
 
     def unknown(self, w: Document) -> None:
