--- a/basaltport/proxy/load_balancing.py
+++ b/basaltport/proxy/load_balancing.py
@@ -131,7 +131,8 @@
         known = self.health.of(replica_id)
         if now < known.ejected_until or known.is_missing(waiting.item, now):
             return False
-        if known.running_attempts >= self.most_attempts(replica):
+        running = known.running_attempts
+        if running >= LEAST_ATTEMPTS and running >= self.most_attempts(replica):
             return False
         if now >= known.slow_start_until:
             return True
