--- a/basaltport/query_api/admin/operator_requests.py
+++ b/basaltport/query_api/admin/operator_requests.py
@@ -69,6 +69,7 @@
     book: state_machine.ClusterState
     leader: typing.Any
     heard_at: int
+    leading: bool
     members: dict[str, Document]
 
     def note(self, number: int, **fields: object) -> None:
@@ -77,6 +78,9 @@
     def settled(self) -> bool:
         """Whether an entry of this leader's term is committed."""
 
+    def serve_as_leader(self, src: str | None, call: str, verb: str, body: Document) -> None:
+        """Take a request; of a member that may lead."""
+
 
 if typing.TYPE_CHECKING:
     Interface = RequestInterface
@@ -182,5 +186,8 @@
         self.forward(call, waiting.verb, waiting.body)
 
     def serve(self, src: str | None, call: str, verb: str, body: Document) -> None:
-        """Only a leader serves requests; see `LeaderRequestsMixin`."""
+        """Only a leader serves requests, once an entry of its term is committed."""
+        if self.leading and self.settled():
+            self.serve_as_leader(src, call, verb, body)
+            return
         self.respond(src, call, http.HTTPStatus.SERVICE_UNAVAILABLE, dict(NO_LEADER))
