--- a/basaltport/consensus/discovery.py
+++ b/basaltport/consensus/discovery.py
@@ -91,7 +91,7 @@
     def pass_on(self, m, old):
         """One that the leader may not know of is told to it."""
         new = old is None or old["seat"] != m.seat or self.now - old["at"] >= timing.HELLO_PASS_ON
-        known = self.book["roster"].get(m.seat, {}).get("addr") == m.addr
+        known = self.book.members.get(m.seat, {}).get("addr") == m.addr
         if new and not known and not self.leading and self.hears_leader():
             self.send(self.leader.addr, m)
 
@@ -107,4 +107,4 @@
         return None
 
     def addrs(self):
-        return sorted({self.addr_of(s) for s in self.book["roster"]})
+        return sorted({self.addr_of(s) for s in self.book.members})
--- a/basaltport/consensus/election.py
+++ b/basaltport/consensus/election.py
@@ -62,7 +62,7 @@
             rank = self.me.founders.index(a) if a in self.me.founders else 0
             return rank * timing.FOUNDER_STEP
         last = self.leader.seat if self.leader else None
-        seats = sorted(s for s in self.tip()["roster"] if s != last)
+        seats = sorted(s for s in self.tip().members if s != last)
         rank = seats.index(self.me.seat) if self.me.seat in seats else len(seats)
         return rank * timing.RANK_STEP
 
@@ -71,12 +71,12 @@
             return True
         if self.head()[1] == 0:
             return self.me.first_start and self.me.addr in self.me.founders
-        return self.me.seat in self.tip()["roster"]
+        return self.me.seat in self.tip().members
 
     def election_timeout(self):
         if self.policy.pre_vote:
             return timing.ELECTION_TIMEOUT
-        if self.book["roster"] and self.me.seat not in self.tip()["ledgers"]:
+        if self.book.members and self.me.seat not in self.tip().disk_members:
             return OUTSIDER_TIMEOUT
         return ELECTION_TIMEOUT
 
@@ -170,7 +170,7 @@
         if self.head()[1] == 0:
             said, of = set(fresh.values()), set(self.me.founders)
         else:
-            said, of = set(fresh), {r["name"] for r in self.tip()["roster"].values()}
+            said, of = set(fresh), {r["name"] for r in self.tip().members.values()}
         if quorum.is_majority(said, of):
             self.campaign()
 
@@ -281,11 +281,11 @@
     def missing(self):
         """Names of roster members whose vote is not there."""
         got = self.camp.votes if self.camp else {}
-        return sorted(r["name"] for s, r in self.tip()["roster"].items() if s not in got)
+        return sorted(r["name"] for s, r in self.tip().members.items() if s not in got)
 
     def overridden(self, got):
         """An operator's word that members are gone for good: most of the others are enough."""
-        roster = self.tip()["roster"]
+        roster = self.tip().members
         drops = [s for s, r in roster.items() if r["name"] in self.lost_names and s not in got]
         left = roster.keys() - set(drops)
         return drops if quorum.is_majority(got.keys(), left) else None
@@ -294,7 +294,7 @@
         """None, or why the word is not taken."""
         if self.leading or self.now - self.heard_at < OVERRIDE:
             return "there is a leader, or was within five seconds"
-        known = {r["name"] for r in self.tip()["roster"].values()}
+        known = {r["name"] for r in self.tip().members.values()}
         if set(names) - known:
             return f"not in the roster: {sorted(set(names) - known)}"
         heard = [n for n in names if n in self.members and self.now - self.members[n]["at"] < OVERRIDE]
--- a/basaltport/consensus/follower.py
+++ b/basaltport/consensus/follower.py
@@ -178,12 +178,12 @@
         return True
 
     def advance(self, commit, cgen):
-        if commit <= self.book["serial"]:
+        if commit <= self.book.log_index:
             return
         if not any(e["s"] == commit and book.gen_of(e) == cgen for e in self.tail):
             return
         # M6: no gap in what is in force.
-        if not book.contiguous(self.tail, self.book["serial"]):
+        if not book.contiguous(self.tail, self.book.log_index):
             raise errors.LogGapError(self.book.log_index)
         applied = []
         while self.tail and self.tail[0]["s"] <= commit:
@@ -211,7 +211,7 @@
 
     def retained_behind(self, was):
         """A copy took the place of what was in force at serial `was`."""
-        at = self.book["serial"]
+        at = self.book.log_index
         if at > was and at not in self.retained:
             self.clear_retained()
 
--- a/basaltport/consensus/follower_lease.py
+++ b/basaltport/consensus/follower_lease.py
@@ -12,7 +12,7 @@
         """Every query node of before may hold a lease of the leader before, but those that are replaced."""
         self.lapse = {}
         self.left = set()
-        old = [s for s, r in self.tip_book["roster"].items() if r["role"] == "rostrum"]
+        old = [s for s, r in self.tip_book.members.items() if r["role"] == "rostrum"]
         gone = {s for s, _ in swap}
         self.fresh = bool(old) and gone >= set(old)
         for s in old:
@@ -32,7 +32,7 @@
 
     def follower_stops(self, s):
         """It holds no lease any more and will take none."""
-        if not self.settled() or s not in self.tip_book["roster"]:
+        if not self.settled() or s not in self.tip_book.members:
             return
         self.lapse.pop(s, None)
         self.echoes.pop(s, None)
--- a/basaltport/consensus/leadership.py
+++ b/basaltport/consensus/leadership.py
@@ -50,8 +50,8 @@
             call(got)
 
     def first_entry(self, got, swap, drops):
-        ls = self.tip_book["ledgers"]
-        reached = {self.me.seat, *self.tip_book["roster"], *(row["seat"] for _, row in swap)}
+        ls = self.tip_book.disk_members
+        reached = {self.me.seat, *self.tip_book.members, *(row["seat"] for _, row in swap)}
         live = sorted(s for s, p in got.items() if p.me["role"] == "ledger" and s in reached)
         op = {"op": "lead", "swap": swap, "drops": drops}
         if not quorum.is_majority(set(live), set(ls)):
@@ -86,7 +86,7 @@
 
     def settled(self):
         """True once an entry of this leader's term is agreed."""
-        return self.leading and self.first is not None and self.book["serial"] >= self.first
+        return self.leading and self.first is not None and self.book.log_index >= self.first
 
     def tick_lead(self):
         if not self.leading:
--- a/basaltport/consensus/leadership_transfer.py
+++ b/basaltport/consensus/leadership_transfer.py
@@ -25,13 +25,13 @@
         others = self.live() - {self.me.seat}
         if not quorum.has_majority(self.tip_book, others):
             return None
-        fit = sorted(others & self.tip_book["roster"].keys() - self.gone.keys()) or sorted(others)
+        fit = sorted(others & self.tip_book.members.keys() - self.gone.keys()) or sorted(others)
         return max(fit, key=lambda s: self.match.get(s, -1))
 
     def equal_disk_member(self):
         """Of the disk members that hold all that this leader has, the first."""
         top = self.head()[1]
-        fit = [s for s in self.tip_book["ledgers"] if s != self.me.seat and self.match.get(s) == top]
+        fit = [s for s in self.tip_book.disk_members if s != self.me.seat and self.match.get(s) == top]
         return min(fit, default=None)
 
     def hand_over(self, why):
--- a/basaltport/consensus/leaving.py
+++ b/basaltport/consensus/leaving.py
@@ -69,4 +69,4 @@
         seats = quorum.voters(self.book)
         if self.me.seat not in seats:
             return True
-        return "former" not in self.book and not worth_dropping(len(seats), len(seats) - 1)
+        return self.book.former_members is None and not worth_dropping(len(seats), len(seats) - 1)
--- a/basaltport/consensus/log.py
+++ b/basaltport/consensus/log.py
@@ -12,7 +12,7 @@
 import basaltport.consensus.old_keys as old_keys
 import basaltport.identifiers as identifiers
 
-Document = collections.abc.Mapping[str, typing.Any]
+Document = dict[str, typing.Any]
 Unknown = tuple[tuple[str, typing.Any], ...]
 
 
--- a/basaltport/consensus/membership.py
+++ b/basaltport/consensus/membership.py
@@ -40,10 +40,10 @@
         # M8: one change at a time, each committed before the next; M4: by a leader that holds its lease.
         if not self.holds() or self.pending(*CHANGES):
             return
-        if "former" in self.tip_book:
+        if self.tip_book.former_members is not None:
             self.append({"op": "final"})
             return
-        roster = self.tip_book["roster"]
+        roster = self.tip_book.members
         for m in [*self.heard_within(timing.LEARNER), self.me.row()]:
             if m["seat"] in roster and roster[m["seat"]] != codec.decode_member(m):
                 self.append({"op": "roster", "add": m})
@@ -58,7 +58,7 @@
 
     def ready(self, s):
         """Whether a learner has all that is agreed, synced, and answers."""
-        caught_up = self.match.get(s, -1) >= self.book["serial"]
+        caught_up = self.match.get(s, -1) >= self.book.log_index
         return caught_up and self.now - self.acks.get(s, -(10**9)) < timing.RESPONSIVE
 
     def add_seat(self, roster):
--- a/basaltport/consensus/read_index.py
+++ b/basaltport/consensus/read_index.py
@@ -26,7 +26,7 @@
 
     def note_committed(self):
         for w in self.waiting:
-            if w["serial"] <= self.book["serial"] and w["committed"] is None:
+            if w["serial"] <= self.book.log_index and w["committed"] is None:
                 w["committed"] = self.now
 
     def settle(self):
@@ -35,7 +35,7 @@
         while self.waiting:
             w = self.waiting[0]
             # M3: a change is acknowledged only once it is committed.
-            if w["serial"] > self.book["serial"]:
+            if w["serial"] > self.book.log_index:
                 break
             if self.policy.acknowledges_after_followers and self.behind(w["serial"]):
                 break
--- a/basaltport/consensus/replication.py
+++ b/basaltport/consensus/replication.py
@@ -128,7 +128,7 @@
 
     def note_transfer(self, s, size, whole=False):
         """What is sent while more is on its way comes behind it; what is whole makes up for all before."""
-        first = Transfer(self.n, self.now, 0, self.book["serial"], 0)
+        first = Transfer(self.n, self.now, 0, self.book.log_index, 0)
         if self.on_its_way(s) and not whole:
             first = self.transfers[s]
         self.transfers[s] = dataclasses.replace(first, size=first.size + size, upto=self.head()[1])
@@ -198,7 +198,7 @@
         if self.to_come(m):
             return
         self.needs.add(m.seat)
-        r = self.tip_book["roster"].get(m.seat)
+        r = self.tip_book.members.get(m.seat)
         if r:
             self.beat_to(m.seat, r)
 
@@ -213,7 +213,7 @@
     def count(self):
         """Agreed: held by most seats, synced by most disk members, and of this leader's term."""
         t = self.tip_book
-        was = self.book["serial"]
+        was = self.book.log_index
         for e in reversed(self.tail):
             # M3: an entry of an older term is committed by one of this leader's term behind it.
             if book.gen_of(e) != self.promised:
@@ -223,7 +223,7 @@
                 continue
             self.advance(e["s"], book.gen_of(e))
             break
-        if self.book["serial"] == was:
+        if self.book.log_index == was:
             return
         self.note_committed()
         self.beat()
--- a/basaltport/consensus/snapshot_transfer.py
+++ b/basaltport/consensus/snapshot_transfer.py
@@ -21,7 +21,7 @@
     def install(self, copy):
         """Takes a copy over; what is in force here stays so: of a copy whose book is older only the entries
         behind what is in force are taken, and of one that does not reach it nothing."""
-        was = self.book["serial"]
+        was = self.book.log_index
         # M6: what is in force never goes back.
         if copy.cluster_state.log_index >= was:
             self.book, self.tail = copy.cluster_state, list(copy.uncommitted)
--- a/basaltport/controller/executor_leases.py
+++ b/basaltport/controller/executor_leases.py
@@ -96,7 +96,7 @@
         """Every other member may be leased by who led before, but for one that handed over by itself."""
         self.lease_end = -1
         rows = self.latest_shards()
-        members = {*self.tip_book["roster"], *(row[key] for row in rows.values() for key in ("owner", "was"))}
+        members = {*self.tip_book.members, *(row[key] for row in rows.values() for key in ("owner", "was"))}
         self.lease_ends = {
             member_id: self.now + self.executor_lease_ms()
             for member_id in members
@@ -107,7 +107,7 @@
 
     def latest_shards(self) -> ShardRows:
         """The shards by the leader's latest entry, which may not be agreed yet."""
-        rows: ShardRows = self.tip_book.get("slices") or {}
+        rows: ShardRows = self.tip_book.shards
         return rows
 
     def newest_fence(self) -> int:
@@ -131,7 +131,7 @@
     def echo_for(self, member_id: str, row: object) -> int:
         """The acknowledgement that a heartbeat gives back, 0 for none: only to a member that has applied
         the last change of owners, and once this leader's first entry is agreed."""
-        unknown = member_id not in self.echoes or member_id not in self.tip_book["roster"]
+        unknown = member_id not in self.echoes or member_id not in self.tip_book.members
         if unknown or not self.settled():
             return 0
         number, heard_at, applied = self.echoes[member_id]
@@ -153,7 +153,7 @@
         if member_id == self.me.seat or self.may_be_leased(member_id):
             return False
         if (
-            member_id not in self.tip_book["roster"]
+            member_id not in self.tip_book.members
             or member_id in self.echoes
             and self.has_resigned(member_id)
         ):
@@ -166,6 +166,6 @@
         if member_id is None or not self.may_be_leased(member_id):
             return True
         if member_id == self.me.seat:
-            released: bool = self.book["serial"] >= row["fence"]
+            released: bool = self.book.log_index >= row["fence"]
             return released
         return member_id in self.echoes and self.echoes[member_id][2] >= row["fence"]
--- a/basaltport/controller/operator_requests.py
+++ b/basaltport/controller/operator_requests.py
@@ -217,8 +217,8 @@
             self.confirm(source, call, verb, body, received_at)
             return
         change = body.get("change")
-        if change in self.tip_book["changes"]:
-            index = self.tip_book["changes"][change]
+        if change in self.tip_book.recent_changes:
+            index = self.tip_book.recent_changes[change]
             self.wait_for_commit(source, call, verb, body, received_at, index)
             return
         decided = self.change_operations()[Verb(verb)](self.tip_book, body)
@@ -242,7 +242,7 @@
     ) -> None:
         """Answer a change once the entry of an index is agreed."""
         row = {"src": source, "call": call, "verb": verb, "body": body, "at": received_at, "serial": index}
-        row["committed"] = self.now if index <= self.book["serial"] else None
+        row["committed"] = self.now if index <= self.book.log_index else None
         self.waiting.append(row)
         self.waiting.sort(key=lambda waiting: typing.cast(int, waiting["serial"]))
         self.settle()
@@ -259,12 +259,12 @@
         """Answer once a majority answers a heartbeat sent after this, and what the answer rests on is
         agreed. A read has no answer yet: it is made of the state that is agreed then."""
         row = {"n": self.n, "src": source, "call": call, "verb": verb, "body": body, "asked": received_at}
-        self.reads.append({**row, "got": answer, "serial": self.tip_book["serial"] if answer else 0})
+        self.reads.append({**row, "got": answer, "serial": self.tip_book.log_index if answer else 0})
         self.beat_at = AT_ONCE
 
     def serve_read(self, row: Document) -> None:
         """A majority confirmed that this controller leads: give the answer, if what it rests on is agreed."""
-        if row["serial"] > self.book["serial"]:
+        if row["serial"] > self.book.log_index:
             self.reads.append(row)
             return
         answer = row["got"] or self.read_configuration(self.book)
--- a/basaltport/controller/order_execution.py
+++ b/basaltport/controller/order_execution.py
@@ -119,13 +119,13 @@
         another leader had ordered through it has arrived."""
         shard = shard_ownership.shard_of(replica_id)
         row = self.shards().get(shard)
-        if not self.leading or row is None or row != self.tip_book["slices"].get(shard):
+        if not self.leading or row is None or row != self.tip_book.shards.get(shard):
             return False
         if not self.former_owner_stopped(shard):
             return False
         owner = row["owner"]
         since = self.executor_since.get(owner, self.now)
-        if owner not in self.tip_book["roster"] or self.now - since < EXECUTOR_SETTLED_MS:
+        if owner not in self.tip_book.members or self.now - since < EXECUTOR_SETTLED_MS:
             return False
         if owner == self.me.seat:
             return self.holds() and not self.stopped
@@ -158,7 +158,7 @@
             order.adapter or "",
             fence,
         )
-        self.send(self.addr_of(owner) or self.tip_book["roster"][owner]["addr"], request)
+        self.send(self.addr_of(owner) or self.tip_book.members[owner]["addr"], request)
 
     def hear_order_result(self, source: str, result: messages.OrderResult) -> None:
         """What came of an order. That its owner was fenced says nothing of who leads."""
--- a/basaltport/fleet/publish.py
+++ b/basaltport/fleet/publish.py
@@ -168,7 +168,7 @@
 
     def controllers(self) -> list[str]:
         """The addresses of all controllers."""
-        return sorted(r["addr"] for r in self.book["roster"].values())
+        return sorted(r["addr"] for r in self.book.members.values())
 
     def hear_follow(self, src: str, m: messages.Follow) -> None:
         """A proxy tells what it has; one that asks a controller that does not lead is sent on."""
@@ -210,7 +210,7 @@
             return
         if self.rows_known and self.placement.changed:
             self.number_rows()
-        state = (self.book["serial"], self.feed_n)
+        state = (self.book.log_index, self.feed_n)
         if state == self.published and self.now - self.looked < ROWS:
             return
         self.looked = self.now
@@ -246,7 +246,7 @@
             self.me.name if fresh else NOBODY,
             self.me.addr if fresh else "",
             controllers if fresh else [],
-            self.book["serial"],
+            self.book.log_index,
             entries,
             copy,
             full,
@@ -256,7 +256,7 @@
             gone,
             len(self.proxies),
         )
-        p.serial, p.seen, p.told = self.book["serial"], n, controllers
+        p.serial, p.seen, p.told = self.book.log_index, n, controllers
         size = sum(map(sizes.entry_size, entries)) + ROW_BYTES * len(rows)
         size += sizes.state_size(copy) if copy else text.OVERHEAD
         p.sent(size, self.now)
@@ -264,7 +264,7 @@
 
     def book_for(self, serial: int) -> BookPart:
         """Entries after a serial, or a copy of what proxies need where those are not here or are more."""
-        top = self.book["serial"]
+        top = self.book.log_index
         here = top - serial <= len(self.retained)
         es = [self.retained.get(k) for k in range(serial + 1, top + 1)] if here else [None]
         if (
--- a/basaltport/model/checks.py
+++ b/basaltport/model/checks.py
@@ -174,8 +174,8 @@
         began = self.began.get((m.promised, (node.name, node.incarnation)), self.world.now)
         if not self._majority_since(node, max(began, self.world.now - WORD_MS)):
             self._broken(Rule.WORD, node=node.name, feeds=True)
-        if m.book["serial"] < self.top:
-            self._broken(Rule.WORD, node=node.name, feeds=True, serial=m.book["serial"], top=self.top)
+        if m.book.log_index < self.top:
+            self._broken(Rule.WORD, node=node.name, feeds=True, serial=m.book.log_index, top=self.top)
 
     # orders to replicas
 
--- a/basaltport/proxy/node.py
+++ b/basaltport/proxy/node.py
@@ -109,7 +109,7 @@
 
     def evacuated_zones(self) -> collections.abc.Collection[str]:
         """Zones that take nothing new."""
-        zones: collections.abc.Collection[str] = self.book["drains"]
+        zones: collections.abc.Collection[str] = self.book.evacuated_zones
         return zones
 
     def is_fed(self) -> bool:
@@ -124,12 +124,12 @@
 
     def followed(self) -> None:
         """The agreed state changed."""
-        document = self.book["manifest"]
+        document = self.book.configuration
         if document is not self.compiled_document:
             self.compiled_document = document
             self.table = routing.RoutingTable(document)
             routes = sum(map(len, self.table.hosts.values()))
-            version = int(self.book["mserial"])
+            version = int(self.book.configuration_version)
             self.emit(
                 base.Note(int(log_events.Event.MANIFEST_IN_FORCE), {"serial": version, "lines": routes})
             )
--- a/basaltport/query_api/admin/leader_requests.py
+++ b/basaltport/query_api/admin/leader_requests.py
@@ -86,7 +86,7 @@
         waiting: Document = {"src": src, "call": call, "change": change, "committed": None}
         if change in state["changes"]:
             waiting["serial"] = state["changes"][change]
-            waiting["committed"] = self.now if waiting["serial"] <= self.book["serial"] else None
+            waiting["committed"] = self.now if waiting["serial"] <= self.book.log_index else None
             self.waiting.append(waiting)
             self.waiting.sort(key=lambda row: row["serial"])
             self.settle()
@@ -205,7 +205,7 @@
 
     def read_show(self) -> Document:
         """The manifest and its version."""
-        return {"serial": self.book["mserial"], "manifest": self.book["manifest"]}
+        return {"serial": self.book.configuration_version, "manifest": self.book.configuration}
 
     def read_history(self) -> Document:
         """The last changes."""
@@ -213,8 +213,8 @@
 
     def read_change(self, change: object) -> tuple[int, Document]:
         """What became of a change."""
-        changes = self.book["changes"]
-        if change in changes:
+        changes = self.book.recent_changes
+        if isinstance(change, str) and change in changes:
             body = {"outcome": "acknowledged", "serial": changes[change], "change": change}
             return http.HTTPStatus.OK, body
         return http.HTTPStatus.NOT_FOUND, {"outcome": "unheard", "change": change}
@@ -233,7 +233,7 @@
             "drains": sorted(state["drains"]),
             "leaving": sorted(state["leaving"]),
             "duties": {
-                role: members.get(owner["owner"], {}).get("name", "lost")
+                role: members.get(owner.owner, {}).get("name", "lost")
                 for role, owner in state["duties"].items()
             },
             "digest": codec.digest(state),
@@ -242,14 +242,14 @@
     def read_members(self) -> Document:
         """The members, and how far each has applied the log."""
         rows = []
-        by_name = sorted(self.book["roster"].items(), key=lambda item: item[1]["name"])
+        by_name = sorted(self.book.members.items(), key=lambda item: item[1]["name"])
         for member_id, row in by_name:
             heartbeat = self.echoes.get(member_id)
             rows.append(
                 {
                     **row,
                     "live": self.quiet(member_id) < LIVE_WITHIN_MS,
-                    "ledger": member_id in self.book["ledgers"],
+                    "ledger": member_id in self.book.disk_members,
                     "applied": heartbeat[2] if heartbeat else 0,
                 }
             )
@@ -258,15 +258,18 @@
     def read_replicas(self) -> Document:
         """The replicas and what they hold."""
         rows = []
-        for name, row in sorted(self.book["platform"].items()):
-            marks = {"draining": row["zone"] in self.book["drains"], "leaving": name in self.book["leaving"]}
+        for name, row in sorted(self.book.listed_replicas.items()):
+            marks = {
+                "draining": row["zone"] in self.book.evacuated_zones,
+                "leaving": name in self.book.leaving_replicas,
+            }
             rows.append({"replica": name, **row, **marks, **self.replica_row(row["zone"], name)})
         return {"replicas": rows}
 
     def read_placement(self) -> Document:
         """Where each item is."""
         placement: dict[str, list[Document]] = {}
-        for name, row in sorted(self.book["platform"].items()):
+        for name, row in sorted(self.book.listed_replicas.items()):
             held = self.replica_row(row["zone"], name).get("held", {})
             for item, state in sorted(held.items()):
                 holder = {"replica": name, "zone": row["zone"], "state": state}
--- a/basaltport/query_api/anti_entropy/key_holder.py
+++ b/basaltport/query_api/anti_entropy/key_holder.py
@@ -81,11 +81,10 @@
         self.range_copies: dict[str, RangeCopy] = {}
         self.swept_range = 0
 
-    def key_holders(self, key_id: str) -> dict[str, typing.Any]:
-        """The holders of a key: `seats` since the log index `at`."""
-        nobody: dict[str, typing.Any] = {"at": 0, "seats": {}}
-        found: dict[str, typing.Any] = self.book["keepers"].get(str(range_digests.range_of(key_id)), nobody)
-        return found
+    def key_holders(self, key_id: str) -> state_machine.KeyRange:
+        """The holders of a key, and since which entry they are."""
+        number = str(range_digests.range_of(key_id))
+        return self.book.key_holders.get(number) or state_machine.KeyRange(0, {})
 
     def key_count(self) -> int:
         """How many keys are held."""
@@ -97,8 +96,8 @@
         """Begin to copy the ranges that this member came to hold, and stop with those that it no longer does.
 
         A new holder of a range starts with nothing of it; one that joins anew with what it has."""
-        for range_name, holders in self.book["keepers"].items():
-            own = holders["seats"].get(self.me.seat)
+        for range_name, holders in self.book.key_holders.items():
+            own = holders.holders.get(self.me.seat)
             if own is None:
                 self.range_copies.pop(range_name, None)
                 continue
@@ -178,7 +177,7 @@
         """Answer only where this copy was complete under the index asked for, and takes no older claim."""
         address = self.addr_of(message.member_id)
         range_name = str(message.range)
-        if address is None or self.book["serial"] < message.since:
+        if address is None or self.book.log_index < message.since:
             return
         known_since = (self.complete_since.get(range_name), self.former_since.get(range_name))
         if message.former_since not in known_since:
@@ -208,8 +207,8 @@
         """Answer a claim; blank while the range is not complete here."""
         address = self.addr_of(message.owner_id)
         holders = self.key_holders(message.key_id)
-        own = holders["seats"].get(self.me.seat)
-        if address is None or own is None or holders["at"] != message.holders_since:
+        own = holders.holders.get(self.me.seat)
+        if address is None or own is None or holders.since != message.holders_since:
             return
         range_name = str(range_digests.range_of(message.key_id))
         if self.complete_since.get(range_name) != own[0]:
@@ -274,7 +273,7 @@
             if record is not None:
                 self.release(message, records, record)
             return
-        if self.me.seat not in self.key_holders(message.key_id)["seats"]:
+        if self.me.seat not in self.key_holders(message.key_id).holders:
             return
         if record is None:
             record = records[message.key_id] = key_claims.KeyRecord(0)
--- a/basaltport/query_api/cell/cell.py
+++ b/basaltport/query_api/cell/cell.py
@@ -17,7 +17,7 @@
 LOADED = "loaded"
 
 Rows = dict[str, typing.Any]
-Owner = dict[str, typing.Any]
+Owner = state_machine.RoleOwner
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -112,15 +112,15 @@
         self.cells_requested_at = self.now
         all_ranges = range_digests.pack(range_digests.all_of())
         for zone, owner in self.zone_owners():
-            address = self.addr_of(owner["owner"])
+            address = self.addr_of(owner.owner)
             if not self.cell_of(zone).complete and address:
-                fence = identifiers.Fence(owner["fence"])
+                fence = identifiers.Fence(owner.fence)
                 self.send(address, messages.CellRequest(zone, fence, self.me.seat, all_ranges))
 
     def zone_owners(self) -> list[tuple[identifiers.Zone, Owner]]:
         """Each zone with the owner of its role and the fence."""
         prefix = role_owners.ZONE_ROLE_PREFIX
-        owners = self.book["duties"].items()
+        owners = self.book.role_owners.items()
         return [
             (identifiers.Zone(role.removeprefix(prefix)), o) for role, o in owners if role.startswith(prefix)
         ]
@@ -156,18 +156,18 @@
         for replica, held_item, _ in cell.held():
             if replica in free and held_item in self.rules.items:
                 free[replica] -= self.rules.items[held_item].size
-        listed = self.book["platform"]
+        listed = self.book.listed_replicas
         return any(
             room >= rule.full for replica, room in free.items() if listed[replica]["group"] == rule.group
         )
 
     def may_use(self, replica: str) -> bool:
         """False for a replica that is leaving, unlisted, or in an evacuated zone."""
-        listed = self.book["platform"].get(replica)
-        if listed is None or replica in self.book["leaving"] or replica in self.leaving_hints:
+        listed = self.book.listed_replicas.get(replica)
+        if listed is None or replica in self.book.leaving_replicas or replica in self.leaving_hints:
             return False
         zone = identifiers.Zone(listed["zone"])
-        return zone not in self.book["drains"] and zone not in self.evacuation_hints
+        return zone not in self.book.evacuated_zones and zone not in self.evacuation_hints
 
 
 def updated_rows(rows: Rows, message: messages.CellUpdate) -> Rows:
--- a/basaltport/query_api/failure_detection/ring.py
+++ b/basaltport/query_api/failure_detection/ring.py
@@ -67,7 +67,7 @@
             return
         self.ring_sent_at = self.now
         self.ring_sequence += 1
-        members = self.book["roster"]
+        members = self.book.members
         for watcher in watchers(self.me.seat, members):
             address = self.addr_of(watcher)
             if address:
--- a/basaltport/query_api/failure_detection/role_owners.py
+++ b/basaltport/query_api/failure_detection/role_owners.py
@@ -115,13 +115,13 @@
     def lacks_owner(self, state: state_machine.ClusterState, role: str) -> bool:
         """Whether a role has no owner, or one that is lost."""
         owner = state["duties"].get(role)
-        return not owner or self.is_lost(owner["owner"])
+        return not owner or self.is_lost(owner.owner)
 
     def is_lost(self, member_id: str) -> bool:
         """Never before its lease expired; soon where watchers miss it too, later on the leader alone."""
         if self.now < self.lapse.get(member_id, 0):
             return False
-        if member_id not in self.tip_book["roster"] or member_id in self.left:
+        if member_id not in self.tip_book.members or member_id in self.left:
             return True
         silent_ms = self.quiet(member_id)
         if silent_ms >= LOST_AFTER_MS:
--- a/basaltport/query_api/query_proxy/interface.py
+++ b/basaltport/query_api/query_proxy/interface.py
@@ -4,6 +4,7 @@
 import random
 import typing
 
+import basaltport.consensus.state_machine as state_machine
 import basaltport.identifiers as identifiers
 import basaltport.query_api.query_proxy.model_state as model_state
 import basaltport.query_api.query_proxy.queues as queues
@@ -38,7 +39,7 @@
     configuration_version_seen: int
     demand_waits: bool
 
-    def key_holders(self, key_id: str) -> dict[str, typing.Any]:
+    def key_holders(self, key_id: str) -> state_machine.KeyRange:
         """See `KeyHolderMixin`."""
 
     def cells_known(self) -> bool:
--- a/basaltport/query_api/query_proxy/key_claims.py
+++ b/basaltport/query_api/query_proxy/key_claims.py
@@ -45,11 +45,11 @@
     def send_claim(self, claiming: request.Request, claim: key_claim.KeyClaim) -> None:
         """Ask those holders that have not granted it."""
         holders = self.key_holders(claim.key_id)
-        if holders["at"] != claim.holders_since:
-            claim.holders_since, claim.answers = identifiers.LogIndex(holders["at"]), {}
+        if holders.since != claim.holders_since:
+            claim.holders_since, claim.answers = identifiers.LogIndex(holders.since), {}
             claim.attempt += 1
         claim.next_at = self.now + (FOLLOW_INTERVAL_MS if claim.following else RETRY_INTERVAL_MS)
-        for member_id in sorted(holders["seats"]):
+        for member_id in sorted(holders.holders):
             address = self.addr_of(member_id)
             if address and not claim.is_granted_by(member_id):
                 message = messages.KeyClaim(
@@ -96,10 +96,10 @@
         claim = claiming.claim
         assert claim is not None
         holders = self.key_holders(claim.key_id)
-        if holders["at"] != claim.holders_since:
+        if holders.since != claim.holders_since:
             claim.next_at = self.now
             return
-        count, by_state = len(holders["seats"]), claim.answers_by_state()
+        count, by_state = len(holders.holders), claim.answers_by_state()
         granted = len(by_state.get("granted", ()))
         if 2 * granted > count:
             self.claim_granted(claiming)
@@ -138,7 +138,7 @@
         self, claiming: request.Request, claim: key_claim.KeyClaim, taken: messages.KeyClaimAnswer
     ) -> None:
         """Another request has this key: give back what was granted and wait for the other's outcome."""
-        if taken.owner_id not in self.book["roster"]:
+        if taken.owner_id not in self.book.members:
             self.end_unknown(claiming, "key-fate-unknown")
             return
         claim.following = True
@@ -166,7 +166,7 @@
 
     def tell_holders(self, outcome: messages.KeyOutcome) -> None:
         """Tell a key's holders what came of a claim."""
-        for member_id in sorted(self.key_holders(outcome.key_id)["seats"]):
+        for member_id in sorted(self.key_holders(outcome.key_id).holders):
             address = self.addr_of(member_id)
             if address:
                 self.send(address, outcome)
--- a/basaltport/query_api/query_proxy/slots.py
+++ b/basaltport/query_api/query_proxy/slots.py
@@ -44,8 +44,8 @@
 
     def request_slots(self, zone: identifiers.Zone) -> None:
         """Tell a zone's controller what is used and wanted of each of its replicas."""
-        owner = self.book["duties"].get(role_owners.zone_role(zone))
-        address = self.addr_of(owner["owner"]) if owner else None
+        owner = self.book.role_owners.get(role_owners.zone_role(zone))
+        address = self.addr_of(owner.owner) if owner else None
         if owner is None or not address:
             return
         self.slots_requested_at[zone] = self.now
@@ -54,7 +54,7 @@
         sequence = self.slot_request_sequence
         self.slot_requests_sent[sequence] = self.now
         self.slot_requests_sent.pop(sequence - REMEMBERED_REQUESTS, None)
-        fence = identifiers.Fence(owner["fence"])
+        fence = identifiers.Fence(owner.fence)
         seen_fence, number = self.slot_grants_seen.get(zone, NO_GRANTS)
         seen = number if seen_fence == fence else 0
         self.send(address, messages.SlotRequest(self.me.seat, sequence, zone, fence, seen, rows))
@@ -63,7 +63,7 @@
         """[slots in use, slots wanted besides] by replica of a zone."""
         wanted = self.wanted_slots()
         rows = {}
-        for replica_id, row in self.book["platform"].items():
+        for replica_id, row in self.book.listed_replicas.items():
             if row["zone"] != zone:
                 continue
             known = self.slots.get(replica_id)
@@ -84,9 +84,9 @@
 
     def hear_slot_grants(self, source: str, message: messages.SlotGrants) -> None:
         """Take slots, unless they are of an older controller or older than those taken."""
-        owner = self.book["duties"].get(role_owners.zone_role(message.zone))
+        owner = self.book.role_owners.get(role_owners.zone_role(message.zone))
         requested_at = self.slot_requests_sent.get(message.acknowledged)
-        if owner is None or owner["fence"] != message.fence or requested_at is None:
+        if owner is None or owner.fence != message.fence or requested_at is None:
             return
         if (message.fence, message.number) <= self.slot_grants_seen.get(message.zone, NO_GRANTS):
             return
--- a/basaltport/query_api/zone_controller/load_permits.py
+++ b/basaltport/query_api/zone_controller/load_permits.py
@@ -48,12 +48,12 @@
 
     def request_permits(self, zone: owned_zone.OwnedZone) -> None:
         """Ask the store's owner for permits, with what this zone holds."""
-        owner = self.book["duties"].get(role_owners.STORE_ROLE)
+        owner = self.book.role_owners.get(role_owners.STORE_ROLE)
         if owner is None or self.now - zone.permits_requested_at < REQUEST_INTERVAL_MS:
             return
         if self.is_unheard(zone, 2 * REQUEST_INTERVAL_MS):
             return
-        address = self.addr_of(owner["owner"])
+        address = self.addr_of(owner.owner)
         if address is None:
             return
         zone.waiting_loads = {
@@ -81,7 +81,7 @@
         if not self.may_load_unheard(zone):
             return held
         unheard = sum(LOADS_AT_ONCE for known in zone.replicas.values() if not known.heard)
-        owner = self.book["duties"][role_owners.zone_role(zone.zone)]
+        owner = self.book.role_owners[role_owners.zone_role(zone.zone)]
         if unheard and not owner.get("new", owner["first"]):
             held[UNHEARD_POOL] = unheard
         return held
@@ -103,20 +103,20 @@
 
     def tick_store(self) -> None:
         """Take over the store's role, or notice that it is another's."""
-        owner = self.book["duties"].get(role_owners.STORE_ROLE)
-        if owner is None or owner["owner"] != self.me.seat:
+        owner = self.book.role_owners.get(role_owners.STORE_ROLE)
+        if owner is None or owner.owner != self.me.seat:
             self.store_fence = None
             return
-        if self.store_fence != owner["fence"]:
-            self.store_fence = owner["fence"]
+        if self.store_fence != owner.fence:
+            self.store_fence = owner.fence
             self.store_accounts = {}
-            self.note(log_events.Event.STORE_DUTY_TAKEN, fence=owner["fence"])
+            self.note(log_events.Event.STORE_DUTY_TAKEN, fence=owner.fence)
 
     def hear_load_permit_request(self, source: str, message: messages.LoadPermitRequest) -> None:
         """Grant permits within what all zones together may load."""
-        owner = self.book["duties"].get(role_owners.STORE_ROLE)
+        owner = self.book.role_owners.get(role_owners.STORE_ROLE)
         address = self.addr_of(message.member_id)
-        if owner is None or owner["owner"] != self.me.seat or address is None or not self.leased():
+        if owner is None or owner.owner != self.me.seat or address is None or not self.leased():
             return
         self.tick_store()
         former = self.store_accounts.get(message.zone)
--- a/basaltport/scale/part.py
+++ b/basaltport/scale/part.py
@@ -138,7 +138,7 @@
         about = {"leads": leads, "held": self.shell.held, "term": controller.promised.count}
         if leads:
             about |= {"rows": len(controller.placement.rows), "proxies": len(controller.proxies)}
-            about |= {"serial": controller.book["serial"]}
+            about |= {"serial": controller.book.log_index}
         return about
 
     async def do_ask(self, verb: str, body: Answer) -> Answer:
--- a/basaltport/simulation/query_api/drills/notice.py
+++ b/basaltport/simulation/query_api/drills/notice.py
@@ -100,7 +100,7 @@
     w.run(1500)
     for _ in range(3):
         lead = w.leader()
-        owners = {d["owner"] for d in lead.member.book["duties"].values()} if lead else set()
+        owners = {d["owner"] for d in lead.member.book.role_owners.values()} if lead else set()
         seats = [n.name for n in w.live() if n.member.me.seat in owners] or [p.rostrum()]
         name = p.rng.choice(seats)
         w.kill(name)
--- a/basaltport/simulation/query_api/scenarios/scenarios.py
+++ b/basaltport/simulation/query_api/scenarios/scenarios.py
@@ -269,7 +269,7 @@
     w = p.w
     for i in range(40):
         a, b = p.rostrum(), p.rostrum()
-        s = w.leader().member.book["mserial"]
+        s = w.leader().member.book.configuration_version
         w.ask(a, "patch", p.bound(100 + i, f"a{i}", if_serial=s))
         w.ask(b, "patch", p.bound(200 + i, f"b{i}", if_serial=s))
         w.ask(p.rostrum(), "show", {})
--- a/basaltport/simulation/query_api/world/world.py
+++ b/basaltport/simulation/query_api/world/world.py
@@ -169,8 +169,10 @@
             return
         if not n.frozen:
             self.step(n, events.Tick(self.now))
-            if n.role == "rostrum" and n.member.leased() and n.member.book["mserial"] < self.acked:
-                self.log("stale-lease", node=n.name, serial=n.member.book["mserial"], acked=self.acked)
+            if n.role == "rostrum" and n.member.leased() and n.member.book.configuration_version < self.acked:
+                self.log(
+                    "stale-lease", node=n.name, serial=n.member.book.configuration_version, acked=self.acked
+                )
         self.later(TICK, self.tick, name, incarnation)
 
     def step(self, n, ev):
--- a/basaltport/simulation/routes/nodes.py
+++ b/basaltport/simulation/routes/nodes.py
@@ -206,7 +206,7 @@
         """One step of a reducer, with its effects; then the state that it agreed to is checked."""
         if node.member is None:
             return
-        was = node.member.book["serial"]
+        was = node.member.book.log_index
         self.carry_out(node, node.member.step(event))
         if node.member is not None:
             self.look(node, was)
--- a/tests/model_mutations.py
+++ b/tests/model_mutations.py
@@ -76,7 +76,7 @@
 
 def confirm_at_once(self, src, call, verb, body, at, got=None):
     r = {"n": -1, "src": src, "call": call, "verb": verb, "body": body, "asked": at}
-    self.reads.append({**r, "got": got, "serial": self.tip_book["serial"] if got else 0})
+    self.reads.append({**r, "got": got, "serial": self.tip_book.log_index if got else 0})
     self.settle()
 
 
--- a/tests/test_control_scenarios.py
+++ b/tests/test_control_scenarios.py
@@ -115,16 +115,16 @@
 def _falls_back(self):
     """Every tenth configuration brings back the one that was in force first."""
     _keep_snapshot(self)
-    document = self.book["manifest"]
+    document = self.book.configuration
     if document is None:
         return
     first = self.__dict__.setdefault("first_document", document)
-    if self.book["mserial"] % 10 == 0:
+    if self.book.configuration_version % 10 == 0:
         self.book = dataclasses.replace(self.book, configuration=first)
 
 
 def _only_founding(self, got):
-    return not self.tip()["roster"]
+    return not self.tip().members
 
 
 def _sends_no_copy(self, s):
--- a/tests/test_controller_faults.py
+++ b/tests/test_controller_faults.py
@@ -176,7 +176,7 @@
     for n in (1, b.n):
         beat = messages.Beat(b.gen, b.seat, b.name, b.addr, n, 1, b.gen, b.gen, 1, [], late, 0, 0)
         w.step(f, base.Heard(w.now, "", beat))
-        assert f.member.book["serial"] == f.member.head()[1] == m.book["serial"]
+        assert f.member.book.log_index == f.member.head()[1] == m.book.log_index
 
 
 def test_a_list_that_comes_while_another_may_lead_is_not_yet_told():
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -49,7 +49,7 @@
     w = stage.ready("mid", 3)
     w.run(4000)
     book = w.leader().member.book
-    owners = {book["roster"][d["owner"]]["name"] for k, d in book["duties"].items() if k != "store"}
+    owners = {book.members[d.owner].name for k, d in book.role_owners.items() if k != "store"}
     name = next(n.name for n in w.live() if n.name not in owners)
     for o in owners:
         w.cut(o, name, both=False)
@@ -79,14 +79,14 @@
     """How long until the duties of a rostrum are another's."""
     seat = w.nodes[name].seat_was
     t = w.now
-    ok = w.run_until(lambda: all(d["owner"] != seat for d in w.leader().member.book["duties"].values()), ms)
+    ok = w.run_until(lambda: all(d["owner"] != seat for d in w.leader().member.book.role_owners.values()), ms)
     return w.now - t if ok else None
 
 
 def _owner(w):
     book = w.leader().member.book
-    name = book["roster"][book["duties"]["zone/z1"]["owner"]]["name"]
-    w.nodes[name].seat_was = book["duties"]["zone/z1"]["owner"]
+    name = book.members[book.role_owners["zone/z1"].owner].name
+    w.nodes[name].seat_was = book.role_owners["zone/z1"].owner
     return name
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -42,7 +42,7 @@
 
 
 def edition(p):
-    return (p.book["manifest"] or {}).get("edition")
+    return (p.book.configuration or {}).get("edition")
 
 
 def test_a_new_proxy_has_all_at_once_and_then_only_what_changed():
@@ -132,7 +132,7 @@
 def test_a_list_of_former_controllers_does_not_hide_the_members_of_the_agreed_state():
     """A controller that stayed behind answers under the newest term with the list of its own state."""
     w, (p, _) = world()
-    members = {row["addr"] for row in p.book["roster"].values()}
+    members = {row["addr"] for row in p.book.members.values()}
     former = ["10.9.0.1:1", "10.9.0.2:1"]
     p.me.seeds = p.controllers = former
     p.leader_address = former[0]
--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -63,7 +63,7 @@
     assert left.override(gone) is None
     assert w.run_until(lambda: w.leader() is not None, 10_000)
     w.run(2000)
-    assert w.leader().member.book["changes"]["kept"] == got[1]["serial"]
+    assert w.leader().member.book.recent_changes["kept"] == got[1]["serial"]
     assert w.asked(alive, "patch", {"patch": {"lines": {"desk": {"bound": 72}}}, "change": "on"})[0] == 200
     assert "there is a leader" in w.leader().member.override(gone)
 
@@ -80,7 +80,7 @@
     w.cut(w.leader().name, n.name)
     end = n.member.lease_end
     w.step(n, events.Heard(w.now, "", old[0].msg))
-    assert n.member.lease_end == end and n.member.book["serial"] == w.leader().member.book["serial"]
+    assert n.member.lease_end == end and n.member.book.log_index == w.leader().member.book.log_index
     assert [r["number"] for r in w.trace if r["k"] == "note" and r["number"] == 35] == [35]
 
 
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -254,7 +254,7 @@
     for k in h.nodes.values():
         h.do(k, k.on_tick, None)
     kid = key_claim.key_id_of("l", "s", key)
-    return h, kid, [h.nodes[s] for s in sorted(h.nodes[next(iter(h.nodes))].key_holders(kid)["seats"])]
+    return h, kid, [h.nodes[s] for s in sorted(h.nodes[next(iter(h.nodes))].key_holders(kid).holders)]
 
 
 def _claim(h, k, kid, q, n=1, at=1, owner="n0-0", digest="d"):
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -69,7 +69,9 @@
     beats = [x for x in sent if isinstance(x, messages.Beat)]
     assert not any(x.copy for x in beats)
     assert max(len(frames.pack(x)) for x in beats) < 20_000
-    assert all(n.member.book["mserial"] == w.leader().member.book["mserial"] for n in w.live())
+    assert all(
+        n.member.book.configuration_version == w.leader().member.book.configuration_version for n in w.live()
+    )
 
 
 def test_an_old_manifest_spares_no_finding():
--- a/tests/test_mutations.py
+++ b/tests/test_mutations.py
@@ -46,11 +46,11 @@
 
 
 def _use_all(self, replica):
-    return replica in self.book["platform"]
+    return replica in self.book.listed_replicas
 
 
 def _leased(self):
-    return bool(self.book["serial"])
+    return bool(self.book.log_index)
 
 
 def _unconfirmed(self):
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -348,7 +348,7 @@
 
 def test_what_comes_before_the_feed_is_held_and_then_routed_or_refused_in_time():
     s = Sim([row("a")])
-    doc, rows = s.m.book["manifest"], s.m.rows
+    doc, rows = s.m.book.configuration, s.m.rows
     fresh = Sim([], {"edition": 1, "routes": [], "services": []})
     fresh.m.table = routing.RoutingTable(None)
     assert fresh.ask("safe", deadline=3000) == [] and fresh.ask("once", deadline=900) == []
--- a/tests/test_route_scenarios.py
+++ b/tests/test_route_scenarios.py
@@ -68,14 +68,14 @@
 
 
 def _book_once(self, m):
-    if not self.book["manifest"]:
+    if not self.book.configuration:
         _take_book(self, m)
 
 
 def _forgets(self, m):
     """A proxy that takes up again what it had before."""
     _take_book(self, m)
-    doc = self.book["manifest"]
+    doc = self.book.configuration
     old = getattr(self, "old", None)
     if old is None or doc["edition"] <= old["edition"]:
         self.old = doc
@@ -128,7 +128,7 @@
 
 
 def _only_founding(self, got):
-    return not self.tip()["roster"]
+    return not self.tip().members
 
 
 def _go(self, replica, step):
