--- a/basaltport/query_api/anti_entropy/key_holder.py
+++ b/basaltport/query_api/anti_entropy/key_holder.py
@@ -20,6 +20,7 @@
 RESPONSE_BYTES = 64 << 20
 NOTHING_LEFT = identifiers.Millis(0)
 NO_OWNER = identifiers.MemberId("")
+NO_HOLDERS = state_machine.KeyRange(0, {})
 
 Claims = dict[str, key_claims.KeyRecord]
 
@@ -82,9 +83,8 @@
         self.swept_range = 0
 
     def key_holders(self, key_id: str) -> state_machine.KeyRange:
-        """The holders of a key, and since which entry they are."""
-        number = str(range_digests.range_of(key_id))
-        return self.book.key_holders.get(number) or state_machine.KeyRange(0, {})
+        """The holders of a key."""
+        return self.book.key_holders.get(str(range_digests.range_of(key_id)), NO_HOLDERS)
 
     def key_count(self) -> int:
         """How many keys are held."""
@@ -101,11 +101,11 @@
             if own is None:
                 self.range_copies.pop(range_name, None)
                 continue
-            since, former = own
+            since = own.joined
             copying = self.range_copies.get(range_name)
             if self.complete_since.get(range_name) == since or copying is not None and copying.since == since:
                 continue
-            self.begin_copy(range_name, since, former)
+            self.begin_copy(range_name, since, dict(own.predecessors))
         self.count_bytes()
 
     def begin_copy(self, range_name: str, since: int, former: dict[str, int]) -> None:
@@ -211,7 +211,7 @@
         if address is None or own is None or holders.since != message.holders_since:
             return
         range_name = str(range_digests.range_of(message.key_id))
-        if self.complete_since.get(range_name) != own[0]:
+        if self.complete_since.get(range_name) != own.joined:
             copying = self.range_copies.get(range_name)
             left = self.unknown_for(copying) if copying else COPY_INTERVAL_MS
             blank = self.claim_answer(message, "blank", left=identifiers.Millis(max(0, left)))
--- a/basaltport/query_api/cell/cell.py
+++ b/basaltport/query_api/cell/cell.py
@@ -17,7 +17,6 @@
 LOADED = "loaded"
 
 Rows = dict[str, typing.Any]
-Owner = state_machine.RoleOwner
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -117,7 +116,7 @@
                 fence = identifiers.Fence(owner.fence)
                 self.send(address, messages.CellRequest(zone, fence, self.me.seat, all_ranges))
 
-    def zone_owners(self) -> list[tuple[identifiers.Zone, Owner]]:
+    def zone_owners(self) -> list[tuple[identifiers.Zone, state_machine.RoleOwner]]:
         """Each zone with the owner of its role and the fence."""
         prefix = role_owners.ZONE_ROLE_PREFIX
         owners = self.book.role_owners.items()
@@ -157,16 +156,14 @@
             if replica in free and held_item in self.rules.items:
                 free[replica] -= self.rules.items[held_item].size
         listed = self.book.listed_replicas
-        return any(
-            room >= rule.full for replica, room in free.items() if listed[replica]["group"] == rule.group
-        )
+        return any(room >= rule.full for replica, room in free.items() if listed[replica].group == rule.group)
 
     def may_use(self, replica: str) -> bool:
         """False for a replica that is leaving, unlisted, or in an evacuated zone."""
         listed = self.book.listed_replicas.get(replica)
         if listed is None or replica in self.book.leaving_replicas or replica in self.leaving_hints:
             return False
-        zone = identifiers.Zone(listed["zone"])
+        zone = identifiers.Zone(listed.zone)
         return zone not in self.book.evacuated_zones and zone not in self.evacuation_hints
 
 
--- a/basaltport/query_api/query_node.py
+++ b/basaltport/query_api/query_node.py
@@ -31,6 +31,8 @@
 NO_VERSION = -1
 LONG_AGO = -(10**9)
 
+Document = dict[str, typing.Any]
+
 
 class QueryNode(
     admission.AdmissionMixin,
@@ -72,7 +74,7 @@
         node.FollowerNode.__init__(self, me, seed, now, voting_policy.ALL_MEMBERS)
         self.rules = rules.compile(None, 0)
         self.rules_version = NO_VERSION
-        self.compiled_from: dict[str, typing.Any] | None = None
+        self.compiled_from: Document | None = None
         self.requests: dict[str, request.Request] = {}
         self.queues = queues.Queues()
         self.outcome_counts: collections.Counter[str] = collections.Counter()
@@ -96,7 +98,7 @@
         """Newer agreed state is in force here: compile its configuration, take over zones and keys."""
         version = self.book.configuration_version
         if version != self.rules_version:
-            configuration = self.book.configuration
+            configuration = typing.cast(Document | None, self.book.configuration)
             self.rules = rules.compile(configuration, version, self.compiled_from, self.rules)
             self.compiled_from = configuration
             self.rules_version = version
--- a/basaltport/query_api/query_proxy/attempts.py
+++ b/basaltport/query_api/query_proxy/attempts.py
@@ -97,7 +97,7 @@
                 attempt_id,
                 sent.id,
                 identifiers.ReplicaId(replica_id),
-                self.book.listed_replicas[replica_id]["url"],
+                self.book.listed_replicas[replica_id].url,
                 sent.body,
                 int(self.book.configuration_version),
                 timeout_ms,
--- a/basaltport/query_api/query_proxy/slots.py
+++ b/basaltport/query_api/query_proxy/slots.py
@@ -64,7 +64,7 @@
         wanted = self.wanted_slots()
         rows = {}
         for replica_id, row in self.book.listed_replicas.items():
-            if row["zone"] != zone:
+            if row.zone != zone:
                 continue
             known = self.slots.get(replica_id)
             whole_slots = -int(-wanted.get(replica_id, 0) // 1)
--- a/basaltport/query_api/zone_controller/load_permits.py
+++ b/basaltport/query_api/zone_controller/load_permits.py
@@ -82,7 +82,7 @@
             return held
         unheard = sum(LOADS_AT_ONCE for known in zone.replicas.values() if not known.heard)
         owner = self.book.role_owners[role_owners.zone_role(zone.zone)]
-        if unheard and not owner.get("new", owner["first"]):
+        if unheard and not owner.is_new:
             held[UNHEARD_POOL] = unheard
         return held
 
--- a/basaltport/query_api/zone_controller/zone_controller.py
+++ b/basaltport/query_api/zone_controller/zone_controller.py
@@ -69,14 +69,14 @@
 
     def list_replicas(self, zone: owned_zone.OwnedZone) -> None:
         """Follow the agreed list of replicas."""
-        rows = {name: row for name, row in self.book.listed_replicas.items() if row["zone"] == zone.zone}
+        rows = {name: row for name, row in self.book.listed_replicas.items() if row.zone == zone.zone}
         for name, known in list(zone.replicas.items()):
-            if name not in rows or known.url != rows[name]["url"]:
+            if name not in rows or known.url != rows[name].url:
                 del zone.replicas[name]
         for name, row in rows.items():
             if name not in zone.replicas:
                 replica_id = identifiers.ReplicaId(name)
-                zone.replicas[name] = replica.ControlledReplica(replica_id, row["url"], row["group"])
+                zone.replicas[name] = replica.ControlledReplica(replica_id, row.url, row.group)
 
     def poll(self, zone: owned_zone.OwnedZone) -> None:
         """Ask replicas for reports, and give up those that sent none for a while."""
@@ -100,7 +100,7 @@
     def zone_of(self, replica_id: str) -> identifiers.Zone:
         """The zone that a replica is listed in, or "" where it is unlisted."""
         row = self.book.listed_replicas.get(replica_id)
-        return identifiers.Zone(row["zone"] if row else "")
+        return identifiers.Zone(row.zone if row else "")
 
     def on_replica_polled(self, event: events.ReplicaPolled) -> None:
         """A replica reported, or did not answer."""
