--- a/basaltport/query_api/zone_controller/zone_controller.py
+++ b/basaltport/query_api/zone_controller/zone_controller.py
@@ -91,7 +91,7 @@
         """A replica stopped answering."""
         if known.up:
             known.up = False
-            self.note(log_events.Event.REPLICA_UNREACHABLE, replica=known.id)
+            self.note(log_events.Event.REPLICA_UNREACHABLE, replica_id=known.id)
 
     def is_unheard(self, zone: owned_zone.OwnedZone, grace_ms: int) -> bool:
         """Whether a new controller should still wait for the first report of some replica."""
@@ -121,7 +121,12 @@
         """Take a replica's report, unless it obeys a newer controller or the report is an old one."""
         report = replica.report_of(state)
         if report.fence > zone.fence:
-            self.note(log_events.Event.FENCED_OUT, replica=known.id, fence=int(zone.fence), seen=report.fence)
+            self.note(
+                log_events.Event.FENCED_OUT,
+                replica_id=known.id,
+                fence=int(zone.fence),
+                seen_fence=report.fence,
+            )
             return
         if report.epoch == known.epoch and report.number <= known.report_number:
             return
@@ -141,7 +146,7 @@
         known.epoch = report.epoch
         known.fresh_since = self.now - report.up_ms
         known.ordered = {}
-        self.note(log_events.Event.REPLICA_STARTED, replica=known.id, epoch=known.epoch)
+        self.note(log_events.Event.REPLICA_STARTED, replica_id=known.id, epoch=known.epoch)
 
     def take_held(
         self,
