--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -42,7 +42,7 @@
 
 
 def edition(p):
-    return (p.book["manifest"] or {}).get("edition")
+    return (p.book.configuration or {}).get("edition")
 
 
 def test_a_new_proxy_has_all_at_once_and_then_only_what_changed():
