--- a/basaltport/fleet/publish.py
+++ b/basaltport/fleet/publish.py
@@ -105,10 +105,10 @@
     me: member.Me
     now: identifiers.Millis
     book: state_machine.ClusterState
-    retained: dict[int, log.LogEntry]
+    retained_entries: dict[int, log.LogEntry]
     leading: bool
     leader: typing.Any
-    promised: identifiers.Term
+    current_term: identifiers.Term
     placement: Placed
     listeners: listeners.Listeners
 
@@ -161,7 +161,7 @@
 
     def redirect_proxies(self) -> None:
         """This controller leads no more: proxies look for the next leader at once."""
-        m = messages.Redirect(self.promised, NOBODY, "", self.controllers())
+        m = messages.Redirect(self.current_term, NOBODY, "", self.controllers())
         for p in self.proxies.values():
             self.send(p.address, m)
         self.publish_clear()
@@ -174,7 +174,7 @@
         """A proxy tells what it has; one that asks a controller that does not lead is sent on."""
         if not self.leading:
             x = self.leader if self.hears_leader() else None
-            gen, name, addr = (x.gen, x.name, x.addr) if x else (self.promised, NOBODY, "")
+            gen, name, addr = (x.gen, x.name, x.addr) if x else (self.current_term, NOBODY, "")
             self.send(m.address, messages.Redirect(gen, name, addr, self.controllers()))
             return
         p = self.proxies.get(m.name)
@@ -189,7 +189,7 @@
     def hear_state(self, p: Proxy, m: messages.Follow) -> None:
         """One that has nothing of this leader, new or started anew, is sent all; one that stays behind what
         it was sent lost something, however much else went out to it meanwhile."""
-        if m.gen != self.promised:
+        if m.gen != self.current_term:
             if self.now - p.reset_at >= RESEND and self.now >= p.arrives:
                 p.serial, p.seen, p.told, p.reset_at = m.serial, -1, None, self.now
             return
@@ -242,7 +242,7 @@
         controllers = self.controllers()
         fresh = p.told != controllers
         m = messages.Update(
-            self.promised,
+            self.current_term,
             self.me.name if fresh else NOBODY,
             self.me.addr if fresh else "",
             controllers if fresh else [],
@@ -265,8 +265,8 @@
     def book_for(self, serial: int) -> BookPart:
         """Entries after a serial, or a copy of what proxies need where those are not here or are more."""
         top = self.book["serial"]
-        here = top - serial <= len(self.retained)
-        es = [self.retained.get(k) for k in range(serial + 1, top + 1)] if here else [None]
+        here = top - serial <= len(self.retained_entries)
+        es = [self.retained_entries.get(k) for k in range(serial + 1, top + 1)] if here else [None]
         if (
             serial
             and all(es)
--- a/basaltport/model/checks.py
+++ b/basaltport/model/checks.py
@@ -128,7 +128,7 @@
     # leaders
 
     def _leads(self, node: nodes.Node) -> None:
-        term, incarnation = node.member.promised, (node.name, node.incarnation)
+        term, incarnation = node.member.current_term, (node.name, node.incarnation)
         if self.leader_of.setdefault(term, incarnation) != incarnation:
             self._broken(Rule.TERM, term=term, first=self.leader_of[term], second=incarnation)
         if (term, incarnation) not in self.began:
@@ -159,14 +159,14 @@
 
     # heartbeats that a majority answered
 
-    def heartbeat_sent(self, node: nodes.Node, heartbeat: messages.Beat) -> None:
+    def heartbeat_sent(self, node: nodes.Node, heartbeat: messages.Heartbeat) -> None:
         """A leader sent a heartbeat."""
         incarnation = node.name, node.incarnation
         self.heartbeats.setdefault((incarnation, heartbeat.gen, heartbeat.n), self.world.now)
 
-    def ack_heard(self, node: nodes.Node, ack: messages.Ack) -> None:
+    def ack_heard(self, node: nodes.Node, ack: messages.HeartbeatAck) -> None:
         """A leader is about to hear an acknowledgement."""
-        if not ack.ok or ack.gen != node.member.promised:
+        if not ack.ok or ack.gen != node.member.current_term:
             return
         incarnation = node.name, node.incarnation
         sent_at = self.heartbeats.get((incarnation, ack.gen, ack.n))
@@ -177,7 +177,7 @@
     def _majority_since(self, node: nodes.Node, since: int) -> bool:
         """Whether those that answered a heartbeat sent since then leave no other leader to be elected."""
         member = node.member
-        answered = self.acknowledged.get(((node.name, node.incarnation), member.promised), {})
+        answered = self.acknowledged.get(((node.name, node.incarnation), member.current_term), {})
         have = {member_id for member_id, at in answered.items() if at >= since} | {member.me.seat}
         return electorate.bears(have, electorate.rosters(member.book, member.tail))
 
@@ -194,7 +194,7 @@
         """A leader sends an update to a proxy."""
         member = node.member
         self.counts.update(updates=1)
-        began = self.began.get((member.promised, (node.name, node.incarnation)), self.world.now)
+        began = self.began.get((member.current_term, (node.name, node.incarnation)), self.world.now)
         if not self._majority_since(node, max(began, self.world.now - FEED_FRESH_MS)):
             self._broken(Rule.WORD, node=node.name, feeds=True)
         index = member.book.log_index
--- a/basaltport/model/durable.py
+++ b/basaltport/model/durable.py
@@ -40,7 +40,7 @@
         member = node.member
         entries = [_key(entry) for entry in member.tail]
         held = self.held[node.name] = Held()
-        held.add([member.promised], [*entries, (member.book.log_index, tuple(member.book.term))])
+        held.add([member.current_term], [*entries, (member.book.log_index, tuple(member.book.term))])
 
     def asked(self, node: nodes.Node, token: int, records: list[log.DiskRecord], whole: bool) -> None:
         """A write was handed to the disk; with `whole`, of all that the member has."""
@@ -48,7 +48,7 @@
         vote_terms = [record.term for record in records if isinstance(record, log.TermRecord)]
         entries = [_key(record.entry) for record in records if isinstance(record, log.EntryRecord)]
         if whole:
-            vote_terms.append(member.promised)
+            vote_terms.append(member.current_term)
             entries += [_key(entry) for entry in member.tail]
             entries.append((member.book.log_index, tuple(member.book.term)))
         self.writes[node.name, node.incarnation, token] = vote_terms, entries
@@ -62,8 +62,8 @@
     def bears_out(self, node: nodes.Node, msg: object) -> bool:
         """Whether what a vote or an acknowledgement says is on the disk."""
         held = self.held[node.name]
-        if isinstance(msg, messages.Promise):
+        if isinstance(msg, messages.Vote):
             return not msg.ok or held.vote_term >= msg.gen
-        if isinstance(msg, messages.Ack) and msg.ok:
+        if isinstance(msg, messages.HeartbeatAck) and msg.ok:
             return not msg.serial or (msg.serial, tuple(msg.hgen)) in held.entries
         return True
--- a/basaltport/model/exhaustive.py
+++ b/basaltport/model/exhaustive.py
@@ -184,11 +184,19 @@
     def _member(self, node: nodes.Node, number: dict[str, int]) -> State:
         member, now = node.member, self.world.now
         heard = -1 if member.leader is None else min(AGE_STEPS, (now - member.heard_at) // STEP_MS)
-        confirmed = min(AGE_STEPS, (now - member.vouched) // STEP_MS) if member.leading else -1
+        confirmed = min(AGE_STEPS, (now - member.lease_started_at_ms) // STEP_MS) if member.leading else -1
         log = [(entry.index, entry.term.count, entry.operation.kind) for entry in member.tail]
         voters = sorted(number.get(self._node_of(member_id), -1) for member_id in quorum.voters(member.book))
-        flags = (node.frozen, member.leading, heard, confirmed, member.bad, bool(member.camp), member.stopped)
-        return flags, member.book.log_index, member.book.term.count, voters, log, member.promised.count
+        flags = (
+            node.frozen,
+            member.leading,
+            heard,
+            confirmed,
+            member.bad,
+            bool(member.candidacy),
+            member.stopped,
+        )
+        return flags, member.book.log_index, member.book.term.count, voters, log, member.current_term.count
 
     def _node_of(self, member_id: str) -> str:
         return next((n.name for n in self.world.nodes.values() if n.seat == member_id), "")
