--- a/basaltport/query_api/query_node.py
+++ b/basaltport/query_api/query_node.py
@@ -98,7 +98,7 @@
         """Newer agreed state is in force here: compile its configuration, take over zones and keys."""
         version = self.book.configuration_version
         if version != self.rules_version:
-            configuration = typing.cast(Document | None, self.book.configuration)
+            configuration = self.book.configuration
             self.rules = rules.compile(configuration, version, self.compiled_from, self.rules)
             self.compiled_from = configuration
             self.rules_version = version
