--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -194,7 +194,7 @@
     for e in p.out:
         w.do_send(w.nodes["p1"], e)
     w.run(500)
-    told = lead(w).placement.told
+    told = lead(w).placement.notified
     assert ("requests_waiting", "z-p1", {"m": 2}) in told and ("usage_reported", "z-p1", {"m": 1}, {}) in told
     assert p.heard_facts["m"]["state"] == "loading"
 
