--- a/basaltport/controller/status_view.py
+++ b/basaltport/controller/status_view.py
@@ -59,8 +59,8 @@
     out = []
     for name, proxy in node.proxies.items():
         row = {"name": name, "zone": proxy.zone, "address": proxy.address, "silent_ms": now - proxy.at}
-        behind = max(0, node.book["serial"] - proxy.serial)
-        out.append({**row, "serial": int(proxy.serial), "behind": behind})
+        behind = max(0, node.book["serial"] - proxy.log_index)
+        out.append({**row, "serial": int(proxy.log_index), "behind": behind})
     return sorted(out, key=lambda row: row["name"])
 
 
--- a/basaltport/fleet/follow.py
+++ b/basaltport/fleet/follow.py
@@ -9,11 +9,16 @@
 import basaltport.identifiers as identifiers
 import basaltport.member as member
 
-FOLLOW = 400
-SEEK = 300
-FIRST = 100
-UNLED = 1200
-AT_ONCE = 100
+FOLLOW_MS = 400
+"""How often the leader is told what is known here."""
+SEEK_MS = 300
+"""How often a leader is looked for,"""
+FIRST_SEEK_MS = 100
+"""and how often by a proxy that knows nothing yet."""
+UNLED_MS = 1200
+"""A leader that was not heard of for longer is looked for anew."""
+AT_ONCE_MS = 100
+"""The least time between two requests for what is lacking."""
 LONG_AGO = -(10**9)
 
 Row = dict[str, typing.Any]
@@ -27,7 +32,7 @@
     me: member.Me
     now: identifiers.Millis
 
-    def send(self, addr: str, msg: object) -> None:
+    def send(self, address: str, message: object) -> None:
         """Send a message to an address."""
         return None
 
@@ -39,7 +44,7 @@
 
 
 class FollowMixin(Needs):
-    """`book`: the agreed book, `rows`: replicas by id, `controllers`: addresses, `proxies`: how
+    """`book`: the agreed state, `rows`: replicas by id, `controllers`: addresses, `proxies`: how
     many live, `led_at`: when the leader was heard. Hooks: `followed`, `rows_changed`, `on_facts`, `usage`."""
 
     def follow_start(self) -> None:
@@ -56,12 +61,12 @@
 
     def led(self) -> bool:
         """Whether the leader was heard lately."""
-        return self.now - self.led_at < UNLED
+        return self.now - self.led_at < UNLED_MS
 
     # hooks
 
     def followed(self) -> None:
-        """The book changed."""
+        """The agreed state changed."""
 
     def rows_changed(self, ids: Ids) -> None:
         """Rows of these ids came, changed or went."""
@@ -77,8 +82,8 @@
 
     def tick_follow(self) -> None:
         """Tell the leader what is known, or look for one, as often as each is due."""
-        unled = SEEK if self.feed_n >= 0 else FIRST
-        every = FOLLOW if self.led() else unled
+        unled = SEEK_MS if self.feed_n >= 0 else FIRST_SEEK_MS
+        every = FOLLOW_MS if self.led() else unled
         if self.now - self.follow_at >= every:
             self.follow()
 
@@ -91,7 +96,7 @@
         """
         if self.led() and self.leader_address:
             return [self.leader_address]
-        members = {row["addr"] for row in quorum.voters(self.book).values()}
+        members = {record.address for record in quorum.voters(self.book).values()}
         known = {*members, *self.controllers, *self.me.seeds, self.leader_address}
         return sorted(known - {self.me.addr, ""})
 
@@ -99,85 +104,86 @@
         """Tell what is known, and what was used since."""
         self.follow_at = self.now
         use, load = self.usage() if self.led() else ({}, {})
-        for a in self.addresses():
-            self.send(a, self.follow_of(use, load))
+        for address in self.addresses():
+            self.send(address, self.follow_of(use, load))
 
     def follow_of(self, use: Row, load: Row) -> messages.Follow:
         """Where the leader's address is not known, it is to tell all anew."""
-        m, s = self.me, self.book.log_index
-        gen = self.feed_gen if self.leader_address else identifiers.Term()
-        return messages.Follow(m.name, m.zone, m.addr, gen, s, self.feed_n, use, load)
+        me, log_index = self.me, self.book.log_index
+        term = self.feed_gen if self.leader_address else identifiers.Term()
+        return messages.Follow(me.name, me.zone, me.addr, term, log_index, self.feed_n, use, load)
 
     def want(self, items: dict[str, int]) -> None:
         """Tell the leader how many requests wait for items."""
-        for a in self.addresses():
-            self.send(a, messages.Want(self.me.name, self.me.zone, self.me.addr, items))
+        for address in self.addresses():
+            self.send(address, messages.Want(self.me.name, self.me.zone, self.me.addr, items))
 
     # hearing
 
-    def hear_update(self, src: str, m: messages.Update) -> None:
-        """An older leader's word counts for nothing; what does not join on to what is known is asked for."""
-        if m.gen < self.feed_gen:
+    def hear_update(self, source: str, update: messages.Update) -> None:
+        """An older leader's update is ignored; what does not join on to what is known is asked for."""
+        if update.gen < self.feed_gen:
             return
-        if m.gen > self.feed_gen:
-            self.feed_gen, self.feed_n, self.leader_address = m.gen, -1, ""
+        if update.gen > self.feed_gen:
+            self.feed_gen, self.feed_n, self.leader_address = update.gen, -1, ""
         self.led_at = self.now
-        self.proxies = m.proxies
-        if m.leader_address:
-            self.leader_address, self.controllers = m.leader_address, list(m.controllers)
-        was = self.book.log_index
-        self.take_book(m)
-        ids = self.take_rows(m)
-        if self.book.log_index > was:
+        self.proxies = update.proxies
+        if update.leader_address:
+            self.leader_address, self.controllers = update.leader_address, list(update.controllers)
+        before = self.book.log_index
+        self.take_book(update)
+        changed = self.take_rows(update)
+        if self.book.log_index > before:
             self.followed()
-        if ids:
-            self.rows_changed(ids)
-        lacks = m.serial > self.book.log_index or m.n > self.feed_n
-        if lacks and self.now - self.follow_at >= AT_ONCE:
+        if changed:
+            self.rows_changed(changed)
+        lacks = update.serial > self.book.log_index or update.n > self.feed_n
+        if lacks and self.now - self.follow_at >= AT_ONCE_MS:
             self.follow()
 
-    def take_book(self, m: messages.Update) -> None:
+    def take_book(self, update: messages.Update) -> None:
         """Take the copy if it is newer, and entries that join on."""
-        if m.copy is not None and m.copy.log_index > self.book.log_index:
-            self.book = m.copy
-        for entry in m.entries:
+        if update.copy is not None and update.copy.log_index > self.book.log_index:
+            self.book = update.copy
+        for entry in update.entries:
             if entry.index == self.book.log_index + 1:
                 self.book = state_machine.apply(self.book, entry)
 
-    def take_rows(self, m: messages.Update) -> set[str]:
+    def take_rows(self, update: messages.Update) -> set[str]:
         """Ids whose rows are not as they were."""
-        if m.n < 0 or m.n <= self.feed_n:
+        if update.n < 0 or update.n <= self.feed_n:
             return set()
-        if m.full:
-            new = m.rows
-        elif m.base <= self.feed_n and self.feed_n >= 0:
-            new = {**self.rows, **m.rows}
-            for i in m.gone:
-                new.pop(i, None)
+        if update.full:
+            rows = update.rows
+        elif update.base <= self.feed_n and self.feed_n >= 0:
+            rows = {**self.rows, **update.rows}
+            for replica_id in update.gone:
+                rows.pop(replica_id, None)
         else:
             return set()
-        self.feed_n = m.n
-        old, self.rows = self.rows, new
-        return {i for i in old.keys() | new.keys() if old.get(i) != new.get(i)}
-
-    def hear_redirect(self, src: str, m: messages.Redirect) -> None:
+        self.feed_n = update.n
+        former, self.rows = self.rows, rows
+        return {
+            replica_id
+            for replica_id in former.keys() | rows.keys()
+            if former.get(replica_id) != rows.get(replica_id)
+        }
+
+    def hear_redirect(self, source: str, redirect: messages.Redirect) -> None:
         """A leader that steps down names nobody: all controllers are asked at once. Whoever knows none
         yet takes the word of an older term too, as it may be all that its seeds can give."""
-        if m.controllers and (m.gen >= self.feed_gen or not self.controllers):
-            self.controllers = list(m.controllers)
-        if self.led() and (m.address or m.gen != self.feed_gen):
+        if redirect.controllers and (redirect.gen >= self.feed_gen or not self.controllers):
+            self.controllers = list(redirect.controllers)
+        if self.led() and (redirect.address or redirect.gen != self.feed_gen):
             return
-        if not m.address:
+        if not redirect.address:
             self.led_at = LONG_AGO
             return
-        if m.gen >= self.feed_gen and m.address not in {
-            self.leader_address,
-            *self.controllers,
-            *self.me.seeds,
-        }:
-            self.leader_address = m.address
-            self.send(m.address, self.follow_of({}, {}))
-
-    def hear_facts(self, src: str, m: messages.Facts) -> None:
+        known = {self.leader_address, *self.controllers, *self.me.seeds}
+        if redirect.gen >= self.feed_gen and redirect.address not in known:
+            self.leader_address = redirect.address
+            self.send(redirect.address, self.follow_of({}, {}))
+
+    def hear_facts(self, source: str, facts: messages.Facts) -> None:
         """The leader tells how items stand."""
-        self.on_facts(m.items)
+        self.on_facts(facts.items)
--- a/basaltport/fleet/publish.py
+++ b/basaltport/fleet/publish.py
@@ -1,4 +1,4 @@
-"""The leader's side of the feed to proxies: the agreed book and replicas' rows, to each what it lacks."""
+"""The leader's side of the feed to proxies: the agreed state and replicas' rows, to each what it lacks."""
 
 import typing
 
@@ -12,16 +12,22 @@
 import basaltport.member as member
 import basaltport.text as text
 
-IDLE = 1000
-FORGET = 3000
-RESEND = 300
-ROWS = 40
-GONE = 5000
-SMALL = 2000
-LONG_AGO = -(10**9)
-NOBODY = identifiers.Name("")
+IDLE_MS = 1000
+"""A proxy that lacks nothing gets an empty update this often."""
+FORGET_MS = 3000
+"""A proxy that was not heard of for so long follows no more."""
+RESEND_MS = 300
+ROWS_EVERY_MS = 40
+"""Changed rows go out this often at most."""
+GONE_KEPT = 5000
+"""Of how many rows that are gone proxies can still be told."""
+SMALL_BYTES = 2000
+"""Entries may be larger than the copy that replaces them by this."""
 ROW_BYTES = 500
 """About how much one row takes."""
+NOTHING_SEEN = -1
+LONG_AGO = -(10**9)
+NOBODY = identifiers.Name("")
 
 
 def feed_part(state: state_machine.ClusterState) -> state_machine.ClusterState:
@@ -41,8 +47,8 @@
 Row = dict[str, typing.Any]
 
 
-class BookPart(typing.NamedTuple):
-    """What a proxy lacks of the agreed book: entries, or a copy."""
+class StatePart(typing.NamedTuple):
+    """What a proxy lacks of the agreed state: entries, or a copy."""
 
     entries: list[log.LogEntry]
     copy: state_machine.ClusterState | None
@@ -57,39 +63,56 @@
     gone: list[str]
 
 
+class Position:
+    """How far a proxy says that it has got with one part of the feed, and since when no further."""
+
+    __slots__ = ("has", "since")
+
+    def __init__(self) -> None:
+        """It has said nothing yet."""
+        self.has: int | None = None
+        self.since = LONG_AGO
+
+    def lost(self, has: int, sent: int, arrives_at: int, now: int) -> bool:
+        """Whether it has said for RESEND_MS that it has this much and no more, though more must have
+        arrived."""
+        if has >= sent or self.has != has:
+            self.has, self.since = has, now
+            return False
+        if now - self.since < RESEND_MS or now < arrives_at:
+            return False
+        self.since = now
+        return True
+
+
 class Proxy:
-    """A follower: what it has or was sent, and of what it says it has: how much, since when no more."""
+    """A proxy that follows: what it has or was sent, and how far it says that it has got. Times in ms."""
 
-    __slots__ = ("zone", "address", "at", "serial", "seen", "told", "sent_at", "reset_at", "said", "arrives")
+    __slots__ = (
+        *("zone", "address", "at", "log_index", "rows_seen", "controllers_sent", "sent_at", "reset_at"),
+        *("arrives_at", "state_position", "rows_position"),
+    )
 
     def __init__(self) -> None:
         """Nothing is known of it."""
         self.zone = identifiers.Zone("")
         self.address = ""
         self.at = LONG_AGO
-        self.serial = 0
-        self.seen = -1
-        self.told: list[str] | None = None
+        """When it was last heard of."""
+        self.log_index = 0
+        self.rows_seen = NOTHING_SEEN
+        self.controllers_sent: list[str] | None = None
         self.sent_at = LONG_AGO
         self.reset_at = LONG_AGO
-        self.said: dict[str, tuple[int, int]] = {}
-        self.arrives = LONG_AGO
+        self.arrives_at = LONG_AGO
+        """When all that was sent must have arrived."""
+        self.state_position = Position()
+        self.rows_position = Position()
 
-    def sent(self, size: int, now: int) -> None:
-        """Note an update: one after another they take their time over the slowest link."""
+    def note_sent(self, size: int, now: int) -> None:
+        """Note an update of so many bytes: one after another they take their time over the slowest link."""
         self.sent_at = now
-        self.arrives = max(self.arrives, now) + size // replication.SLOWEST_LINK
-
-    def lost(self, what: str, has: int, now: int) -> bool:
-        """Whether it has said for RESEND that it has this much and no more, though more must have arrived."""
-        was = self.said.get(what)
-        if has >= getattr(self, what) or was is None or was[0] != has:
-            self.said[what] = (has, now)
-            return False
-        if now - was[1] < RESEND or now < self.arrives:
-            return False
-        self.said[what] = (has, now)
-        return True
+        self.arrives_at = max(self.arrives_at, now) + size // replication.SLOWEST_LINK
 
 
 class Placed(typing.Protocol):
@@ -112,11 +135,11 @@
     placement: Placed
     listeners: listeners.Listeners
 
-    def send(self, addr: str, msg: object) -> None:
+    def send(self, address: str, message: object) -> None:
         """Send a message to an address."""
 
     def holds(self) -> bool:
-        """Whether this leader was vouched for lately."""
+        """Whether this leader's lease is confirmed."""
 
     def hears_leader(self) -> bool:
         """Whether the leader was heard lately."""
@@ -145,10 +168,11 @@
         self.proxies: dict[str, Proxy] = {}
         self.rows_known = False
         self.feed_n = 0
-        self.feed_at: dict[str, int] = {}
-        self.rows_sent = LONG_AGO
+        self.row_numbers: dict[str, int] = {}
+        """By id: the number of the feed in which a row last changed; the oldest change first."""
+        self.rows_sent_at = LONG_AGO
         self.published: tuple[int, int] | None = None
-        self.looked = LONG_AGO
+        self.looked_at = LONG_AGO
 
     def publish_clear(self) -> None:
         """Forget all proxies and what was published."""
@@ -156,47 +180,50 @@
         self.placement.changed.clear()
 
     def publish_to_new_proxies(self, votes: Row) -> None:
-        """This controller leads: proxies are told anew."""
+        """This controller leads: proxies are sent everything anew."""
         self.publish_clear()
 
     def redirect_proxies(self) -> None:
         """This controller leads no more: proxies look for the next leader at once."""
-        m = messages.Redirect(self.promised, NOBODY, "", self.controllers())
-        for p in self.proxies.values():
-            self.send(p.address, m)
+        redirect = messages.Redirect(self.promised, NOBODY, "", self.controllers())
+        for proxy in self.proxies.values():
+            self.send(proxy.address, redirect)
         self.publish_clear()
 
     def controllers(self) -> list[str]:
         """The addresses of all controllers."""
-        return sorted(r["addr"] for r in self.book["roster"].values())
+        return sorted(record.address for record in self.book.members.values())
 
-    def hear_follow(self, src: str, m: messages.Follow) -> None:
-        """A proxy tells what it has; one that asks a controller that does not lead is sent on."""
+    def hear_follow(self, source: str, follow: messages.Follow) -> None:
+        """A proxy tells what it has; one that asks a controller that does not lead is redirected."""
         if not self.leading:
-            x = self.leader if self.hears_leader() else None
-            gen, name, addr = (x.gen, x.name, x.addr) if x else (self.promised, NOBODY, "")
-            self.send(m.address, messages.Redirect(gen, name, addr, self.controllers()))
+            leader = self.leader if self.hears_leader() else None
+            term, name, address = self.promised, NOBODY, ""
+            if leader:
+                term, name, address = leader.gen, leader.name, leader.addr
+            self.send(follow.address, messages.Redirect(term, name, address, self.controllers()))
             return
-        p = self.proxies.get(m.name)
-        if p is None:
-            p = self.proxies[m.name] = Proxy()
-        p.zone, p.address, p.at = m.zone, m.address, self.now
-        self.hear_state(p, m)
-        if m.use or m.load:
-            self.usage_heard(m.zone, m.use, m.load)
+        proxy = self.proxies.get(follow.name)
+        if proxy is None:
+            proxy = self.proxies[follow.name] = Proxy()
+        proxy.zone, proxy.address, proxy.at = follow.zone, follow.address, self.now
+        self.note_position(proxy, follow)
+        if follow.use or follow.load:
+            self.usage_heard(follow.zone, follow.use, follow.load)
         self.published = None
 
-    def hear_state(self, p: Proxy, m: messages.Follow) -> None:
-        """One that has nothing of this leader, new or started anew, is sent all; one that stays behind what
-        it was sent lost something, however much else went out to it meanwhile."""
-        if m.gen != self.promised:
-            if self.now - p.reset_at >= RESEND and self.now >= p.arrives:
-                p.serial, p.seen, p.told, p.reset_at = m.serial, -1, None, self.now
+    def note_position(self, proxy: Proxy, follow: messages.Follow) -> None:
+        """A proxy that has nothing of this leader, new or started anew, is sent all; one that stays behind
+        what it was sent lost something, however much else went out to it meanwhile."""
+        if follow.gen != self.promised:
+            if self.now - proxy.reset_at >= RESEND_MS and self.now >= proxy.arrives_at:
+                proxy.log_index, proxy.rows_seen = follow.serial, NOTHING_SEEN
+                proxy.controllers_sent, proxy.reset_at = None, self.now
             return
-        if p.lost("serial", m.serial, self.now):
-            p.serial = m.serial
-        if p.lost("seen", m.seen, self.now):
-            p.seen = m.seen
+        if proxy.state_position.lost(follow.serial, proxy.log_index, proxy.arrives_at, self.now):
+            proxy.log_index = follow.serial
+        if proxy.rows_position.lost(follow.seen, proxy.rows_seen, proxy.arrives_at, self.now):
+            proxy.rows_seen = follow.seen
 
     def tell_facts(self, address: str, facts: Row) -> None:
         """Answer a `Want`."""
@@ -205,83 +232,83 @@
     # updates
 
     def publish(self) -> None:
-        """To each proxy what it lacks, at once; else an empty word now and then."""
+        """Send each proxy what it lacks, at once; now and then an empty update to one that lacks nothing."""
         if not self.leading or not self.holds():
             return
         if self.rows_known and self.placement.changed:
             self.number_rows()
-        state = (self.book["serial"], self.feed_n)
-        if state == self.published and self.now - self.looked < ROWS:
+        log_index = self.book.log_index
+        state = (log_index, self.feed_n)
+        if state == self.published and self.now - self.looked_at < ROWS_EVERY_MS:
             return
-        self.looked = self.now
-        for k in [k for k, p in self.proxies.items() if self.now - p.at > FORGET]:
-            del self.proxies[k]
-        rows = self.rows_known and self.now - self.rows_sent >= ROWS
-        for p in self.proxies.values():
-            lacks = p.serial < state[0] or rows and p.seen < self.feed_n
-            if lacks or self.now - p.sent_at >= IDLE:
-                self.update(p)
-        if rows or not self.rows_known:
-            self.rows_sent, self.published = self.now, state
+        self.looked_at = self.now
+        for name in [name for name, proxy in self.proxies.items() if self.now - proxy.at > FORGET_MS]:
+            del self.proxies[name]
+        rows_due = self.rows_known and self.now - self.rows_sent_at >= ROWS_EVERY_MS
+        for proxy in self.proxies.values():
+            lacks = proxy.log_index < log_index or rows_due and proxy.rows_seen < self.feed_n
+            if lacks or self.now - proxy.sent_at >= IDLE_MS:
+                self.update(proxy)
+        if rows_due or not self.rows_known:
+            self.rows_sent_at, self.published = self.now, state
 
     def number_rows(self) -> None:
         """Give the rows that changed the next number of the feed."""
         self.feed_n += 1
-        for i in self.placement.changed:
-            self.feed_at.pop(i, None)
-            self.feed_at[i] = self.feed_n
+        for replica_id in self.placement.changed:
+            self.row_numbers.pop(replica_id, None)
+            self.row_numbers[replica_id] = self.feed_n
         self.placement.changed.clear()
-        while len(self.feed_at) > GONE + len(self.placement.rows):
-            del self.feed_at[next(iter(self.feed_at))]
+        while len(self.row_numbers) > GONE_KEPT + len(self.placement.rows):
+            del self.row_numbers[next(iter(self.row_numbers))]
 
-    def update(self, p: Proxy) -> None:
+    def update(self, proxy: Proxy) -> None:
         """Send a proxy what it lacks."""
-        entries, copy = self.book_for(p.serial)
-        full, base, rows, gone = self.rows_for(p.seen)
-        n = self.feed_n if self.rows_known else -1
+        entries, copy = self.state_after(proxy.log_index)
+        full, base, rows, gone = self.rows_after(proxy.rows_seen)
+        number = self.feed_n if self.rows_known else NOTHING_SEEN
         controllers = self.controllers()
-        fresh = p.told != controllers
-        m = messages.Update(
+        tells_leader = proxy.controllers_sent != controllers
+        update = messages.Update(
             self.promised,
-            self.me.name if fresh else NOBODY,
-            self.me.addr if fresh else "",
-            controllers if fresh else [],
-            self.book["serial"],
+            self.me.name if tells_leader else NOBODY,
+            self.me.addr if tells_leader else "",
+            controllers if tells_leader else [],
+            self.book.log_index,
             entries,
             copy,
             full,
             base,
-            n,
+            number,
             rows,
             gone,
             len(self.proxies),
         )
-        p.serial, p.seen, p.told = self.book["serial"], n, controllers
+        proxy.log_index, proxy.rows_seen, proxy.controllers_sent = self.book.log_index, number, controllers
         size = sum(map(sizes.entry_size, entries)) + ROW_BYTES * len(rows)
         size += sizes.state_size(copy) if copy else text.OVERHEAD
-        p.sent(size, self.now)
-        self.send(p.address, m)
-
-    def book_for(self, serial: int) -> BookPart:
-        """Entries after a serial, or a copy of what proxies need where those are not here or are more."""
-        top = self.book["serial"]
-        here = top - serial <= len(self.retained)
-        es = [self.retained.get(k) for k in range(serial + 1, top + 1)] if here else [None]
-        if (
-            serial
-            and all(es)
-            and sum(sizes.entry_size(e) for e in es if e) <= sizes.state_size(self.book) + SMALL
-        ):
-            return BookPart([e for e in es if e], None)
-        return BookPart([], feed_part(self.book))
-
-    def rows_for(self, seen: int) -> RowsPart:
+        proxy.note_sent(size, self.now)
+        self.send(proxy.address, update)
+
+    def state_after(self, index: int) -> StatePart:
+        """Entries after an index, or a copy of what proxies need where those are not here or are more."""
+        newest = self.book.log_index
+        here = newest - index <= len(self.retained)
+        entries = [self.retained.get(i) for i in range(index + 1, newest + 1)] if here else [None]
+        found = [entry for entry in entries if entry]
+        if index and len(found) == len(entries):
+            entries_size = sum(sizes.entry_size(entry) for entry in found)
+            if entries_size <= sizes.state_size(self.book) + SMALL_BYTES:
+                return StatePart(found, None)
+        return StatePart([], feed_part(self.book))
+
+    def rows_after(self, number: int) -> RowsPart:
         """Rows after a number of the feed, all of them where it is below 0."""
         if not self.rows_known:
-            return RowsPart(False, -1, {}, [])
+            return RowsPart(False, NOTHING_SEEN, {}, [])
         rows = self.placement.rows
-        if seen < 0:
-            return RowsPart(True, -1, dict(rows), [])
-        ids = [i for i, n in self.feed_at.items() if n > seen]
-        here = {i: rows[i] for i in ids if i in rows}
-        return RowsPart(False, seen, here, [i for i in ids if i not in rows])
+        if number < 0:
+            return RowsPart(True, NOTHING_SEEN, dict(rows), [])
+        changed = [replica_id for replica_id, changed_in in self.row_numbers.items() if changed_in > number]
+        here = {replica_id: rows[replica_id] for replica_id in changed if replica_id in rows}
+        return RowsPart(False, number, here, [replica_id for replica_id in changed if replica_id not in rows])
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -141,7 +141,9 @@
     w.run(5000)
     assert not p.led()
     p.step(events.Heard(w.now, "", messages.Redirect(p.feed_gen, identifiers.Name(""), "", former)))
-    asked = {e.addr for e in p.step(events.Tick(w.now + follow.FOLLOW)) if isinstance(e.msg, messages.Follow)}
+    asked = {
+        e.addr for e in p.step(events.Tick(w.now + follow.FOLLOW_MS)) if isinstance(e.msg, messages.Follow)
+    }
     assert asked == members | set(former)
 
 
@@ -248,9 +250,13 @@
 
 def test_what_is_on_its_way_over_a_slow_link_is_not_sent_again():
     """A copy of 1 MB takes 2 s over 5 Mbit/s; a proxy that goes on asking meanwhile is sent it once."""
-    p = publish.Proxy()
-    p.serial, p.seen = 5, -1
-    p.sent(1_000_000, 1000)
-    assert not p.lost("serial", 0, 1000)
-    assert not p.lost("serial", 0, 2500)
-    assert p.lost("serial", 0, 1000 + 1_000_000 // replication.SLOWEST_LINK + 1)
+    proxy = publish.Proxy()
+    proxy.log_index, proxy.rows_seen = 5, -1
+    proxy.note_sent(1_000_000, 1000)
+
+    def lost(now):
+        return proxy.state_position.lost(0, proxy.log_index, proxy.arrives_at, now)
+
+    assert not lost(1000)
+    assert not lost(2500)
+    assert lost(1000 + 1_000_000 // replication.SLOWEST_LINK + 1)
