--- a/basaltport/controller/executor_leases.py
+++ b/basaltport/controller/executor_leases.py
@@ -4,10 +4,12 @@
 has applied the last change of owners, so that nobody sends orders by an ownership that has ended.
 """
 
+import collections.abc
 import typing
 
 import basaltport.consensus.follower as follower
 import basaltport.consensus.follower_lease as follower_lease
+import basaltport.consensus.state_machine as state_machine
 import basaltport.controller.messages as messages
 import basaltport.identifiers as identifiers
 import basaltport.member as member
@@ -15,8 +17,8 @@
 LOST_MS = 1000
 """A member that was not heard of for so long, and whose lease is over, loses its shards."""
 
-ShardRow = dict[str, typing.Any]
-ShardRows = dict[str, ShardRow]
+ShardRow = state_machine.Shard
+ShardRows = collections.abc.Mapping[str, ShardRow]
 
 
 class ExecutorLeasesNeeds(typing.Protocol):
@@ -96,7 +98,10 @@
         """Every other member may be leased by who led before, but for one that handed over by itself."""
         self.lease_end = -1
         rows = self.latest_shards()
-        members = {*self.tip_book["roster"], *(row[key] for row in rows.values() for key in ("owner", "was"))}
+        members = {
+            *self.tip_book.members,
+            *(m for row in rows.values() for m in (row.owner, row.former_owner)),
+        }
         self.lease_ends = {
             member_id: self.now + self.executor_lease_ms()
             for member_id in members
@@ -107,12 +112,12 @@
 
     def latest_shards(self) -> ShardRows:
         """The shards by the leader's latest entry, which may not be agreed yet."""
-        rows: ShardRows = self.tip_book.get("slices") or {}
+        rows: ShardRows = self.tip_book.shards or {}
         return rows
 
     def newest_fence(self) -> int:
         """The fencing token of the last change of owners."""
-        return max((row["fence"] for row in self.latest_shards().values()), default=0)
+        return max((row.fence for row in self.latest_shards().values()), default=0)
 
     def hear_executor_resigned(self, source: str, message: messages.ExecutorResigned) -> None:
         """A member that stops sends no order any more."""
@@ -131,7 +136,7 @@
     def echo_for(self, member_id: str, row: object) -> int:
         """The acknowledgement that a heartbeat gives back, 0 for none: only to a member that has applied
         the last change of owners, and once this leader's first entry is agreed."""
-        unknown = member_id not in self.echoes or member_id not in self.tip_book["roster"]
+        unknown = member_id not in self.echoes or member_id not in self.tip_book.members
         if unknown or not self.settled():
             return 0
         number, heard_at, applied = self.echoes[member_id]
@@ -153,7 +158,7 @@
         if member_id == self.me.seat or self.may_be_leased(member_id):
             return False
         if (
-            member_id not in self.tip_book["roster"]
+            member_id not in self.tip_book.members
             or member_id in self.echoes
             and self.has_resigned(member_id)
         ):
@@ -162,10 +167,10 @@
 
     def former_owner_released(self, row: ShardRow) -> bool:
         """Whether who owned a shard before knows that it does no more, or is leased no more."""
-        member_id = row["was"]
+        member_id = row.former_owner
         if member_id is None or not self.may_be_leased(member_id):
             return True
         if member_id == self.me.seat:
-            released: bool = self.book["serial"] >= row["fence"]
+            released: bool = self.book.log_index >= row.fence
             return released
-        return member_id in self.echoes and self.echoes[member_id][2] >= row["fence"]
+        return member_id in self.echoes and self.echoes[member_id][2] >= row.fence
--- a/basaltport/controller/operator_requests.py
+++ b/basaltport/controller/operator_requests.py
@@ -6,10 +6,13 @@
 """
 
 import collections.abc
+import dataclasses
 import enum
 import typing
 
 import basaltport.configuration.routes as routes
+import basaltport.consensus.log as log
+import basaltport.consensus.state_machine as state_machine
 import basaltport.events as events
 import basaltport.identifiers as identifiers
 import basaltport.log_events as log_events
@@ -36,7 +39,8 @@
 TIMED_OUT = 504
 
 Document = dict[str, typing.Any]
-Operation = dict[str, typing.Any]
+Operation = log.Operation
+State = state_machine.ClusterState
 
 
 class Verb(enum.StrEnum):
@@ -91,8 +95,8 @@
 
     me: member.Me
     now: identifiers.Millis
-    book: typing.Any
-    tip_book: typing.Any
+    book: State
+    tip_book: State
     leading: bool
     leader: typing.Any
     heard_at: int
@@ -217,8 +221,8 @@
             self.confirm(source, call, verb, body, received_at)
             return
         change = body.get("change")
-        if change in self.tip_book["changes"]:
-            index = self.tip_book["changes"][change]
+        if change in self.tip_book.recent_changes:
+            index = self.tip_book.recent_changes[change]
             self.wait_for_commit(source, call, verb, body, received_at, index)
             return
         decided = self.change_operations()[Verb(verb)](self.tip_book, body)
@@ -228,7 +232,7 @@
             self.confirm(source, call, verb, body, received_at, decided)
             return
         if change:
-            decided["change"] = change
+            decided = dataclasses.replace(decided, change_id=change)
         self.wait_for_commit(source, call, verb, body, received_at, self.append(decided))
 
     def note_refused(self, change: object, answer: tuple[int, Document]) -> None:
@@ -242,7 +246,7 @@
     ) -> None:
         """Answer a change once the entry of an index is agreed."""
         row = {"src": source, "call": call, "verb": verb, "body": body, "at": received_at, "serial": index}
-        row["committed"] = self.now if index <= self.book["serial"] else None
+        row["committed"] = self.now if index <= self.book.log_index else None
         self.waiting.append(row)
         self.waiting.sort(key=lambda waiting: typing.cast(int, waiting["serial"]))
         self.settle()
@@ -259,20 +263,20 @@
         """Answer once a majority answers a heartbeat sent after this, and what the answer rests on is
         agreed. A read has no answer yet: it is made of the state that is agreed then."""
         row = {"n": self.n, "src": source, "call": call, "verb": verb, "body": body, "asked": received_at}
-        self.reads.append({**row, "got": answer, "serial": self.tip_book["serial"] if answer else 0})
+        self.reads.append({**row, "got": answer, "serial": self.tip_book.log_index if answer else 0})
         self.beat_at = AT_ONCE
 
     def serve_read(self, row: Document) -> None:
         """A majority confirmed that this controller leads: give the answer, if what it rests on is agreed."""
-        if row["serial"] > self.book["serial"]:
+        if row["serial"] > self.book.log_index:
             self.reads.append(row)
             return
         answer = row["got"] or self.read_configuration(self.book)
         self.respond(row["src"], row["call"], *answer)
 
-    def read_configuration(self, state: typing.Any) -> Answer:
+    def read_configuration(self, state: State) -> Answer:
         """The configuration in force."""
-        document = {"document": state["manifest"], "serial": int(state["mserial"])}
+        document = {"document": state.configuration, "serial": int(state.configuration_version)}
         return Answer(OK, document)
 
     def acknowledge(self, row: Document) -> None:
@@ -305,7 +309,7 @@
 
     def change_operations(
         self,
-    ) -> dict[Verb, collections.abc.Callable[[typing.Any, Document], Operation | tuple[int, Document]]]:
+    ) -> dict[Verb, collections.abc.Callable[[State, Document], Operation | tuple[int, Document]]]:
         """What decides each change."""
         return {
             Verb.CONFIGURE: self.put_configuration,
@@ -314,14 +318,14 @@
             Verb.READMIT: self.readmit_zone,
         }
 
-    def edition(self, state: typing.Any) -> int:
+    def edition(self, state: State) -> int:
         """The edition of a state's configuration, 0 where there is none."""
-        found: int = (state["manifest"] or {}).get("edition", 0)
+        found: int = (state.configuration or {}).get("edition", 0)
         return found
 
     def judge_change(
         self,
-        state: typing.Any,
+        state: State,
         body: Document,
         findings: list[Document],
         document: collections.abc.Callable[[], typing.Any],
@@ -331,42 +335,42 @@
         if body.get("base") != self.edition(state):
             error = {"error": "edition", "edition": self.edition(state)}
             return Answer(PRECONDITION_FAILED, error)
-        findings = findings or routes.check(document(), state["manifest"])
+        findings = findings or routes.check(document(), state.configuration)
         if findings:
             return Answer(BAD_REQUEST, {"error": "invalid", "findings": findings})
         return operation
 
-    def put_configuration(self, state: typing.Any, body: Document) -> Operation | tuple[int, Document]:
+    def put_configuration(self, state: State, body: Document) -> Operation | tuple[int, Document]:
         """Replace the configuration."""
         document = body.get("document")
-        operation = {"op": "manifest", "manifest": document}
+        operation = log.ConfigurationPut(document)
         return self.judge_change(state, body, [], lambda: document, operation)
 
-    def patch_configuration(self, state: typing.Any, body: Document) -> Operation | tuple[int, Document]:
+    def patch_configuration(self, state: State, body: Document) -> Operation | tuple[int, Document]:
         """Change items of the configuration."""
         patch = body.get("patch")
         findings = routes.check_patch(patch)
-        operation = {"op": "alter", "patch": patch}
+        operation = log.ItemsPatched(patch)
         return self.judge_change(
-            state, body, findings, lambda: routes.patch(state["manifest"], patch), operation
+            state, body, findings, lambda: routes.patch(state.configuration, patch), operation
         )
 
     def zone_operation(
-        self, state: typing.Any, body: Document, kind: str, evacuated: bool
+        self, state: State, body: Document, make: collections.abc.Callable[[str], Operation], evacuated: bool
     ) -> Operation | tuple[int, Document]:
-        """The operation of a kind on a zone, after which the zone is evacuated or not."""
+        """The operation on a zone that `make` makes, after which the zone is evacuated or not."""
         zone = body.get("zone")
         if not isinstance(zone, str) or not zone:
             findings = [{"place": "zone", "finding": "not a name"}]
             return Answer(BAD_REQUEST, {"error": "invalid", "findings": findings})
-        if (zone in state["drains"]) is evacuated:
-            return Answer(OK, {"serial": int(state["serial"])})
-        return {"op": kind, "zone": zone}
+        if (zone in state.evacuated_zones) is evacuated:
+            return Answer(OK, {"serial": int(state.log_index)})
+        return make(zone)
 
-    def evacuate_zone(self, state: typing.Any, body: Document) -> Operation | tuple[int, Document]:
+    def evacuate_zone(self, state: State, body: Document) -> Operation | tuple[int, Document]:
         """Take a zone out of use."""
-        return self.zone_operation(state, body, "drain", True)
+        return self.zone_operation(state, body, log.ZoneEvacuated, True)
 
-    def readmit_zone(self, state: typing.Any, body: Document) -> Operation | tuple[int, Document]:
+    def readmit_zone(self, state: State, body: Document) -> Operation | tuple[int, Document]:
         """Take a zone back into use."""
-        return self.zone_operation(state, body, "undrain", False)
+        return self.zone_operation(state, body, log.EvacuationWithdrawn, False)
--- a/basaltport/controller/order_execution.py
+++ b/basaltport/controller/order_execution.py
@@ -2,6 +2,7 @@
 
 import typing
 
+import basaltport.consensus.log as log
 import basaltport.controller.events as events
 import basaltport.controller.messages as messages
 import basaltport.controller.shard_ownership as shard_ownership
@@ -119,20 +120,20 @@
         another leader had ordered through it has arrived."""
         shard = shard_ownership.shard_of(replica_id)
         row = self.shards().get(shard)
-        if not self.leading or row is None or row != self.tip_book["slices"].get(shard):
+        if not self.leading or row is None or row != self.tip_book.shards.get(shard):
             return False
         if not self.former_owner_stopped(shard):
             return False
-        owner = row["owner"]
+        owner = row.owner
         since = self.executor_since.get(owner, self.now)
-        if owner not in self.tip_book["roster"] or self.now - since < EXECUTOR_SETTLED_MS:
+        if owner not in self.tip_book.members or self.now - since < EXECUTOR_SETTLED_MS:
             return False
         if owner == self.me.seat:
             return self.holds() and not self.stopped
         silent = self.now - self.acks.get(owner, NEVER) > ACK_FRESH_MS
         if silent or owner in self.gone or not self.may_be_leased(owner):
             return False
-        return owner in self.echoes and self.echoes[owner][2] >= row["fence"]
+        return owner in self.echoes and self.echoes[owner][2] >= row.fence
 
     def route_order(self, order: effects.Order) -> None:
         """Have an order of Placement's carried out by the owner of its shard."""
@@ -140,7 +141,7 @@
             self.not_routed.append(order.order)
             return
         row = self.shards()[shard_ownership.shard_of(order.replica)]
-        owner, fence = row["owner"], identifiers.Fence(row["fence"])
+        owner, fence = row.owner, identifiers.Fence(row.fence)
         self.routed[order.order] = self.now
         if owner == self.me.seat:
             own = order._replace(holder=self.me.name, fence=fence, expected=None)
@@ -158,7 +159,7 @@
             order.adapter or "",
             fence,
         )
-        self.send(self.addr_of(owner) or self.tip_book["roster"][owner]["addr"], request)
+        self.send(self.addr_of(owner) or self.tip_book.members[owner].address, request)
 
     def hear_order_result(self, source: str, result: messages.OrderResult) -> None:
         """What came of an order. That its owner was fenced says nothing of who leads."""
@@ -183,5 +184,5 @@
             self.call_placement(self.placement.ordered, order, order_types.OrderOutcome.FAILED, NO_TIME)
         if self.leading and self.holds() and not self.stopped:
             self.executor_since.setdefault(self.me.seat, self.now)
-            if not self.pending("slices"):
+            if not self.pending(log.ShardsAssigned.KIND):
                 self.assign_shards()
--- a/basaltport/controller/placement_control.py
+++ b/basaltport/controller/placement_control.py
@@ -120,10 +120,10 @@
         if self.placement_fence is None:
             self.placement_fence, self.placement_inputs = self.first, None
             self.call_placement(self.placement.start, self.first, self.me.name)
-        inputs = (self.book["mserial"], sorted(self.book["drains"]))
+        inputs = (self.book.configuration_version, sorted(self.book.evacuated_zones))
         if inputs != self.placement_inputs:
             self.placement_inputs = inputs
-            self.call_placement(self.placement.configure, self.book["manifest"], set(inputs[1]))
+            self.call_placement(self.placement.configure, self.book.configuration, set(inputs[1]))
 
     def stop_placement(self) -> None:
         """Stop it if it runs."""
--- a/basaltport/controller/shard_ownership.py
+++ b/basaltport/controller/shard_ownership.py
@@ -9,6 +9,7 @@
 import typing
 import zlib
 
+import basaltport.consensus.log as log
 import basaltport.controller.executor_leases as executor_leases
 import basaltport.identifiers as identifiers
 import basaltport.log_events as log_events
@@ -53,7 +54,7 @@
     def pending(self, *kinds: str) -> bool:
         """Whether an entry of one of these kinds is appended and not agreed."""
 
-    def append(self, operation: dict[str, typing.Any]) -> identifiers.LogIndex:
+    def append(self, operation: log.Operation) -> identifiers.LogIndex:
         """Append an entry; its index."""
 
     def note(self, number: int, **fields: object) -> None:
@@ -84,28 +85,28 @@
 
     def shards(self) -> ShardRows:
         """The shards by the agreed state here."""
-        rows: ShardRows = self.book.get("slices") or {}
+        rows: ShardRows = self.book.shards or {}
         return rows
 
     def note_shards(self) -> None:
         """Note since when each shard's row is known to be in force, on this controller's clock."""
-        self.newest_index = max(self.newest_index, self.book["serial"])
+        self.newest_index = max(self.newest_index, self.book.log_index)
         rows = self.shards()
         if rows is self.noted_shards:
             return
         self.noted_shards = rows
         for shard, row in rows.items():
-            if self.fence_noted.get(shard, (None,))[0] != row["fence"]:
-                self.fence_noted[shard] = (row["fence"], self.now)
+            if self.fence_noted.get(shard, (None,))[0] != row.fence:
+                self.fence_noted[shard] = (row.fence, self.now)
 
     def former_owner_stopped(self, shard: str) -> bool:
         """Whether replicas were left alone for long enough since the former owner's last order."""
         row = self.shards()[shard]
-        if row["was"] == row["owner"]:
+        if row.former_owner == row.owner:
             return True
         fence, noted_at = self.fence_noted.get(shard, (None, 0))
         waited_ms = self.now - noted_at
-        return fence == row["fence"] and waited_ms >= self.replica_lease_ms + LEASE_MARGIN_MS
+        return fence == row.fence and waited_ms >= self.replica_lease_ms + LEASE_MARGIN_MS
 
     def executor_leased(self) -> bool:
         """Whether this controller may send orders at all."""
@@ -115,9 +116,9 @@
         """Whether this controller alone may order there now, under a fencing token."""
         shard = shard_of(replica_id)
         row = self.shards().get(shard)
-        if self.stopped or row is None or row["owner"] != self.me.seat or row["fence"] != fence:
+        if self.stopped or row is None or row.owner != self.me.seat or row.fence != fence:
             return False
-        up_to_date = self.book["serial"] >= self.newest_index
+        up_to_date = self.book.log_index >= self.newest_index
         return up_to_date and self.former_owner_stopped(shard) and self.executor_leased()
 
     # the leader
@@ -128,7 +129,7 @@
 
     def assign_shards(self) -> None:
         """Give shards that nobody owns, or whose owner is lost, and even them out in calm times."""
-        rows, roster = self.latest_shards(), self.tip_book["roster"]
+        rows, roster = self.latest_shards(), self.tip_book.members
         live = sorted(member_id for member_id in self.live() & roster.keys() if self.may_own(member_id))
         if not rows and len(live) < len(roster) and self.now - self.since < GATHER_MS:
             return
@@ -136,10 +137,10 @@
         if free:
             self.give_shards(rows, free, live)
             return
-        waited = [i for i, row in rows.items() if row["owner"] and row["was"] != row["owner"]]
+        waited = [i for i, row in rows.items() if row.owner and row.former_owner != row.owner]
         waited = [i for i in waited if self.former_owner_stopped(i)]
         if waited:
-            self.append({"op": "slices", "ripe": waited})
+            self.append(log.ShardsAssigned(settled=tuple(waited)))
             return
         self.balance_shards(rows, live)
 
@@ -151,30 +152,30 @@
         """Whether a shard may be given to somebody now."""
         if row is None:
             return True
-        return self.former_owner_released(row) if row["owner"] is None else self.is_lost(row["owner"])
+        return self.former_owner_released(row) if row.owner is None else self.is_lost(row.owner)
 
     def give_shards(self, rows: ShardRows, free: list[str], live: list[str]) -> None:
         """Give each free shard to whoever has the fewest."""
-        counts = {member_id: sum(row["owner"] == member_id for row in rows.values()) for member_id in live}
+        counts = {member_id: sum(row.owner == member_id for row in rows.values()) for member_id in live}
         owners: dict[str, str | None] = {}
         for shard in free:
             owner = min(live, key=lambda member_id: (counts[member_id], member_id))
             owners[shard] = owner
             counts[owner] += 1
-        names = sorted({self.tip_book["roster"][member_id]["name"] for member_id in owners.values()})
+        names = sorted({self.tip_book.members[member_id].name for member_id in owners.values()})
         self.note(log_events.Event.DUTIES_HANDED, slices=sorted(owners, key=int), owners=names)
-        self.append({"op": "slices", "give": owners})
+        self.append(log.ShardsAssigned(owners))
 
     def balance_shards(self, rows: ShardRows, live: list[str]) -> None:
         """In calm times one shard after another goes from who has most to who has fewest."""
-        owned = {m: sorted(i for i, row in rows.items() if row["owner"] == m) for m in live}
+        owned = {m: sorted(i for i, row in rows.items() if row.owner == m) for m in live}
         most = max(owned, key=lambda member_id: (len(owned[member_id]), member_id))
         fewest = min(owned, key=lambda member_id: (len(owned[member_id]), member_id))
-        settled = all(row["owner"] == row["was"] for row in rows.values())
-        calm = settled and len(live) == len(self.tip_book["roster"])
+        settled = all(row.owner == row.former_owner for row in rows.values())
+        calm = settled and len(live) == len(self.tip_book.members)
         if not calm or len(owned[most]) - len(owned[fewest]) < SPREAD:
             self.uneven_at = self.now
             return
         if self.now - self.uneven_at >= UNEVEN_MS and self.now - self.moved_at >= MOVE_EVERY_MS:
             self.moved_at = self.now
-            self.append({"op": "slices", "give": {owned[most][0]: None}})
+            self.append(log.ShardsAssigned({owned[most][0]: None}))
