--- a/basaltport/admin/cli.py
+++ b/basaltport/admin/cli.py
@@ -12,7 +12,7 @@
 import basaltport.http_client as http_client
 import basaltport.configuration.check as check
 import basaltport.configuration.read as read
-import basaltport.verbs as verbs
+import basaltport.command_line.command as verbs
 
 EXIT = {200: 0, 404: 1, 409: 1, 422: 1, 400: 2, 401: 2, 405: 2, 503: 4, 504: 3}
 
--- a/basaltport/admin/fleet_cli.py
+++ b/basaltport/admin/fleet_cli.py
@@ -12,7 +12,7 @@
 import basaltport.admin.cli as cli
 import basaltport.configuration.routes as routes
 import basaltport.http_client as http_client
-import basaltport.verbs as verbs
+import basaltport.command_line.command as verbs
 
 ADDRESS = re.compile(r"\d{1,3}(\.\d{1,3}){3}:\d{1,5}").fullmatch
 FOLLOWED = 2
--- a/basaltport/daemon.py
+++ b/basaltport/daemon.py
@@ -9,7 +9,7 @@
 import basaltport.host as host
 import basaltport.logs as logs
 import basaltport.settings as settings
-import basaltport.verbs as verbs
+import basaltport.command_line.command as verbs
 
 BAD_INPUT = 2
 FAILED = 1
--- a/basaltport/local_fleet/cli.py
+++ b/basaltport/local_fleet/cli.py
@@ -9,7 +9,7 @@
 
 import basaltport.local_fleet.process as process
 import basaltport.local_fleet.runner as runner
-import basaltport.verbs as verbs
+import basaltport.command_line.command as verbs
 
 POLL_S = 0.2
 LONGEST_S = 3600
--- a/basaltport/main.py
+++ b/basaltport/main.py
@@ -16,7 +16,7 @@
 import basaltport.simulation.query_api.play as play
 import basaltport.simulation.routes.play as routes_play
 import basaltport.scale.cli as scale
-import basaltport.verbs as verbs
+import basaltport.command_line.command as verbs
 
 BAD_INPUT = 2
 
--- a/basaltport/model/cli.py
+++ b/basaltport/model/cli.py
@@ -9,7 +9,7 @@
 import basaltport.model.random_search as random_search
 import basaltport.model.run as run
 import basaltport.model.schedule as schedule
-import basaltport.verbs as verbs
+import basaltport.command_line.command as verbs
 
 HELP = "Controllers, proxies and operators under random troubles in virtual time, every step checked."
 
--- a/basaltport/query_api/load_generator/cli.py
+++ b/basaltport/query_api/load_generator/cli.py
@@ -16,7 +16,7 @@
 import basaltport.query_api.load_generator.shoot as shoot
 import basaltport.query_api.load_generator.verdict as verdict
 import basaltport.simulation.query_api.world.stage as stage
-import basaltport.verbs as verbs
+import basaltport.command_line.command as verbs
 
 PRESETS = ["furrow", "thin", "tsehay"]
 TOTAL_S = 20
--- a/basaltport/scale/cli.py
+++ b/basaltport/scale/cli.py
@@ -17,7 +17,7 @@
 import basaltport.scale.play as play
 import basaltport.scale.size as size_
 import basaltport.scale.table as table
-import basaltport.verbs as verbs
+import basaltport.command_line.command as verbs
 
 HOSTS = 36
 PROCESSES = 200
--- a/basaltport/simulation/query_api/cli.py
+++ b/basaltport/simulation/query_api/cli.py
@@ -12,7 +12,7 @@
 import basaltport.simulation.query_api.world.presets as presets
 import basaltport.simulation.query_api.world.stage as stage
 import basaltport.simulation.query_api.standins.standin as standin
-import basaltport.verbs as verbs
+import basaltport.command_line.command as verbs
 
 
 def define_standins(fv):
--- a/basaltport/simulation/query_api/drills/drill.py
+++ b/basaltport/simulation/query_api/drills/drill.py
@@ -17,7 +17,7 @@
 import basaltport.simulation.query_api.drills.fleet as fleet
 import basaltport.simulation.query_api.world.presets as presets
 import basaltport.simulation.query_api.world.stage as stage
-import basaltport.verbs as verbs
+import basaltport.command_line.command as verbs
 
 
 class Drill:
--- a/basaltport/simulation/query_api/planner.py
+++ b/basaltport/simulation/query_api/planner.py
@@ -10,7 +10,7 @@
 import basaltport.query_api.events as events
 import basaltport.identifiers as identifiers
 import basaltport.simulation.query_api.world.world as world
-import basaltport.verbs as verbs
+import basaltport.command_line.command as verbs
 
 SETTLE = 3000
 BOUND = 60_000
--- a/basaltport/simulation/query_api/play.py
+++ b/basaltport/simulation/query_api/play.py
@@ -9,7 +9,7 @@
 import basaltport.admin.cli as clerk
 import basaltport.simulation.query_api.world.presets as presets
 import basaltport.simulation.query_api.scenarios.scenarios as scenarios
-import basaltport.verbs as verbs
+import basaltport.command_line.command as verbs
 
 FORMAT = 1
 
--- a/basaltport/simulation/routes/play.py
+++ b/basaltport/simulation/routes/play.py
@@ -15,7 +15,7 @@
 import basaltport.simulation.routes.request_rows as request_rows
 import basaltport.simulation.routes.scenes as scenes
 import basaltport.simulation.trace as trace
-import basaltport.verbs as verbs
+import basaltport.command_line.command as verbs
 
 FINDINGS_SHOWN = 5
 USAGE = 2
