--- a/basaltport/controller/admin_api.py
+++ b/basaltport/controller/admin_api.py
@@ -145,10 +145,14 @@
     leader, or 503 where none is known, with what they know themselves, as `?own=1` gives it at any time."""
 
     def status(time: int) -> dict[str, typing.Any]:
+        """What this controller knows itself."""
         return status_view.status(server.member, time, server.listed_at)
 
     def led(name: str, document: collections.abc.Callable[[int], dict[str, typing.Any]]) -> PageMaker:
+        """A page that the leader alone answers in full."""
+
         def page(query: Query) -> Page:
+            """The document here, or the way to the leader."""
             if server.member.leading or query.get("own"):
                 return Page(OK, document(now()))
             leader = status_view.leader(server.member)
@@ -182,9 +186,11 @@
     """The pages of a proxy."""
 
     def status(query: Query) -> Page:
+        """How the proxy stands."""
         return Page(OK, proxy_pages.status(server.member, now()))
 
     def explain(query: Query) -> Page:
+        """What would become of a request now."""
         if not query.get("host") or not query.get("path", "").startswith("/"):
             return Page(BAD_REQUEST, {"error": "needs host and path, as /a/b"})
         try:
@@ -194,5 +200,5 @@
         request = query["host"], query["path"], query.get("item", ""), deadline_ms, tokens
         return Page(OK, proxy_pages.explain(server.member, now(), *request))
 
-    pages = {"status": status, "explain": explain}
+    pages: dict[str, PageMaker] = {"status": status, "explain": explain}
     return Admin(pages, lambda: proxy_pages.samples(server.member, now()))
--- a/basaltport/controller/operator_requests.py
+++ b/basaltport/controller/operator_requests.py
@@ -221,8 +221,8 @@
             self.confirm(source, call, verb, body, received_at)
             return
         change = body.get("change")
-        if change in self.tip_book.recent_changes:
-            index = self.tip_book.recent_changes[change]
+        index = self.tip_book.recent_changes.get(change) if change else None
+        if index is not None:
             self.wait_for_commit(source, call, verb, body, received_at, index)
             return
         decided = self.change_operations()[Verb(verb)](self.tip_book, body)
--- a/basaltport/controller/order_execution.py
+++ b/basaltport/controller/order_execution.py
@@ -125,6 +125,8 @@
         if not self.former_owner_stopped(shard):
             return False
         owner = row.owner
+        if owner is None:
+            return False
         since = self.executor_since.get(owner, self.now)
         if owner not in self.tip_book.members or self.now - since < EXECUTOR_SETTLED_MS:
             return False
@@ -137,10 +139,10 @@
 
     def route_order(self, order: effects.Order) -> None:
         """Have an order of Placement's carried out by the owner of its shard."""
-        if not self.may_order(order.replica):
+        row = self.shards().get(shard_ownership.shard_of(order.replica))
+        if row is None or row.owner is None or not self.may_order(order.replica):
             self.not_routed.append(order.order)
             return
-        row = self.shards()[shard_ownership.shard_of(order.replica)]
         owner, fence = row.owner, identifiers.Fence(row.fence)
         self.routed[order.order] = self.now
         if owner == self.me.seat:
--- a/basaltport/controller/server.py
+++ b/basaltport/controller/server.py
@@ -8,6 +8,8 @@
 import signal
 import typing
 
+import result
+
 import basaltport.consensus.journal as journal
 import basaltport.consensus.member_identity as member_identity
 import basaltport.controller.disk_writer as disk_writer
@@ -109,7 +111,7 @@
         fields = {"serial": int(index), "generation": term.text(), "seat": self.me.seat}
         logs.note(log_events.Event.DISK_OPENED, fields)
 
-    def read_disk(self) -> typing.Any:
+    def read_disk(self) -> journal.Recovered:
         """What the data folder holds; a new folder gets a new identity."""
         settings = self.settings
         folder = settings["data"]
@@ -117,7 +119,7 @@
         member_id = identifiers.MemberId(f"{settings['name']}-{os.urandom(4).hex()}")
         self.disk = journal.Disk(folder, settings["name"])
         opened = self.disk.open(member_identity.Identity(member_id, founders))
-        if opened.is_err():
+        if isinstance(opened, result.Err):
             logs.note(log_events.Event.DISK_REFUSED, {"folder": folder, "why": opened.err_value})
             raise OSError(f"data folder: {opened.err_value}")
         recovered = opened.ok_value
