--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -132,7 +132,7 @@
 def test_a_list_of_former_controllers_does_not_hide_the_members_of_the_agreed_state():
     """A controller that stayed behind answers under the newest term with the list of its own state."""
     w, (p, _) = world()
-    members = {row["addr"] for row in p.book["roster"].values()}
+    members = {record.address for record in p.book.members.values()}
     former = ["10.9.0.1:1", "10.9.0.2:1"]
     p.me.seeds = p.controllers = former
     p.leader_address = former[0]
