--- a/basaltport/controller/shard_ownership.py
+++ b/basaltport/controller/shard_ownership.py
@@ -163,7 +163,7 @@
             owners[shard] = owner
             counts[owner] += 1
         names = sorted({self.tip_book.members[member_id].name for member_id in owners.values()})
-        self.note(log_events.Event.DUTIES_HANDED, slices=sorted(owners, key=int), owners=names)
+        self.note(log_events.Event.ROLES_ASSIGNED, slices=sorted(owners, key=int), owners=names)
         self.append(log.ShardsAssigned(owners))
 
     def balance_shards(self, rows: ShardRows, live: list[str]) -> None:
--- a/basaltport/log_events.py
+++ b/basaltport/log_events.py
@@ -17,7 +17,7 @@
     STEPPED_DOWN = 15
     SEAT_ADDED = 16
     SEAT_DROPPED = 17
-    DUTIES_HANDED = 18
+    ROLES_ASSIGNED = 18
     SEATS_MISSING = 19
     DISK_OPENED = 20
     DISK_REFUSED = 21
@@ -32,18 +32,18 @@
     FRAME_REPLAYED = 35
     CHANGE_REFUSED = 40
     CHANGE_ACKNOWLEDGED = 41
-    MANIFEST_IN_FORCE = 42
-    LOAD_WAITED = 50
-    LOAD_DONE = 51
+    CONFIGURATION_IN_FORCE = 42
+    LOAD_WAIT_STARTED = 50
+    LOAD_WAIT_ENDED = 51
     TIMEOUT_CLASSIFIED = 52
-    DUTY_TAKEN = 60
-    REPLICA_MET = 61
-    REPLICA_DARK = 62
-    FENCE_PASSED = 63
+    ZONE_ROLE_TAKEN = 60
+    REPLICA_STARTED = 61
+    REPLICA_UNREACHABLE = 62
+    FENCED_OUT = 63
     ORDER = 64
     ORDER_FAILED = 65
-    STORE_DUTY_TAKEN = 66
-    KEYS_WHOLE = 70
+    STORE_ROLE_TAKEN = 66
+    KEY_RANGE_COMPLETE = 70
     PORT_CALL_FAILED = 80
     STEP_FAILED = 81
 
@@ -65,7 +65,7 @@
     Event.STEPPED_DOWN: "This member leads no more; the reason is given.",
     Event.SEAT_ADDED: "A member votes from now on.",
     Event.SEAT_DROPPED: "A member was silent too long and votes no more.",
-    Event.DUTIES_HANDED: "Duties were given to owners under a new fence.",
+    Event.ROLES_ASSIGNED: "Duties were given to owners under a new fence.",
     Event.SEATS_MISSING: "No leader for five seconds: these members' votes are missing.",
     Event.DISK_OPENED: "The data folder was read; what was held is given.",
     Event.DISK_REFUSED: "The data folder cannot be used: the reason is given. Nothing was changed in it.",
@@ -80,18 +80,18 @@
     Event.FRAME_REPLAYED: "A heartbeat long past came again; it lengthens no lease and changes nothing.",
     Event.CHANGE_REFUSED: "A change was refused; it is never in force.",
     Event.CHANGE_ACKNOWLEDGED: "A change is agreed, kept and in force at every leased node.",
-    Event.MANIFEST_IN_FORCE: "This node now works by the configuration of the log index given.",
-    Event.LOAD_WAITED: "A shared wait for a cold model began.",
-    Event.LOAD_DONE: "A shared wait ended: the model is loaded; the measured wait is given.",
+    Event.CONFIGURATION_IN_FORCE: "This node now works by the configuration of the log index given.",
+    Event.LOAD_WAIT_STARTED: "A shared wait for a cold model began.",
+    Event.LOAD_WAIT_ENDED: "A shared wait ended: the model is loaded; the measured wait is given.",
     Event.TIMEOUT_CLASSIFIED: "A dispatch timed out; the controller's word names the phase.",
-    Event.DUTY_TAKEN: "This node is the steward of a zone under a new fence.",
-    Event.REPLICA_MET: "A replica answered its steward, or came back as a new start.",
-    Event.REPLICA_DARK: "A replica stopped answering its steward.",
-    Event.FENCE_PASSED: "A replica saw a higher fence: this steward gives it no more orders.",
+    Event.ZONE_ROLE_TAKEN: "This node is the steward of a zone under a new fence.",
+    Event.REPLICA_STARTED: "A replica answered its steward, or came back as a new start.",
+    Event.REPLICA_UNREACHABLE: "A replica stopped answering its steward.",
+    Event.FENCED_OUT: "A replica saw a higher fence: this steward gives it no more orders.",
     Event.ORDER: "A steward orders a replica to load or unload.",
     Event.ORDER_FAILED: "An order was refused or its outcome is unknown.",
-    Event.STORE_DUTY_TAKEN: "This node grants the weight store's permits.",
-    Event.KEYS_WHOLE: "This node holds its range of clients' keys completely.",
+    Event.STORE_ROLE_TAKEN: "This node grants the weight store's permits.",
+    Event.KEY_RANGE_COMPLETE: "This node holds its range of clients' keys completely.",
     Event.PORT_CALL_FAILED: "A call of this controller to its platform broke; the reason is given.",
     Event.STEP_FAILED: "A step of this process broke; the reason is given. It goes on.",
 }
--- a/basaltport/proxy/node.py
+++ b/basaltport/proxy/node.py
@@ -131,7 +131,7 @@
             routes = sum(map(len, self.table.hosts.values()))
             version = int(self.book["mserial"])
             self.emit(
-                base.Note(int(log_events.Event.MANIFEST_IN_FORCE), {"serial": version, "lines": routes})
+                base.Note(int(log_events.Event.CONFIGURATION_IN_FORCE), {"serial": version, "lines": routes})
             )
         self.route_held_arrivals()
         self.pump()
--- a/basaltport/query_api/anti_entropy/key_holder.py
+++ b/basaltport/query_api/anti_entropy/key_holder.py
@@ -142,7 +142,10 @@
         del self.range_copies[range_name]
         records = len(self.key_records[int(range_name)])
         self.note(
-            log_events.Event.KEYS_WHOLE, range=int(range_name), copied=len(copying.copied), records=records
+            log_events.Event.KEY_RANGE_COMPLETE,
+            range=int(range_name),
+            copied=len(copying.copied),
+            records=records,
         )
 
     def request_copies(self, range_number: int, copying: RangeCopy) -> None:
--- a/basaltport/query_api/failure_detection/role_owners.py
+++ b/basaltport/query_api/failure_detection/role_owners.py
@@ -101,7 +101,7 @@
 
     def propose_owners(self, owners: dict[str, str], roles: set[str]) -> None:
         """Append the entry that names owners; `fresh` in it: no owner before can still act."""
-        self.note(log_events.Event.DUTIES_HANDED, owners=owners)
+        self.note(log_events.Event.ROLES_ASSIGNED, owners=owners)
         operation: Row = {"op": "duty", "owners": owners}
         if self.fresh and set(owners) == roles:
             operation["fresh"] = True
--- a/basaltport/query_api/query_node.py
+++ b/basaltport/query_api/query_node.py
@@ -103,7 +103,7 @@
             self.compiled_from = configuration
             self.rules_version = version
             queue_count = len(self.rules.lines)
-            self.note(log_events.Event.MANIFEST_IN_FORCE, serial=int(version), lines=queue_count)
+            self.note(log_events.Event.CONFIGURATION_IN_FORCE, serial=int(version), lines=queue_count)
             self.recheck_requests()
         self.take_zones()
         self.join_ranges()
--- a/basaltport/query_api/query_proxy/model_readiness.py
+++ b/basaltport/query_api/query_proxy/model_readiness.py
@@ -218,7 +218,7 @@
         del self.load_waits[wait.item]
         if wait.began:
             known.last_load_ms = self.now - wait.since
-            self.note(log_events.Event.LOAD_DONE, item=wait.item, waited_ms=known.last_load_ms)
+            self.note(log_events.Event.LOAD_WAIT_ENDED, item=wait.item, waited_ms=known.last_load_ms)
         for waiting in self.queues:
             if waiting.item == wait.item and waiting.state is QUEUED:
                 waiting.ready = True
@@ -229,7 +229,7 @@
         if not wait.began:
             wait.began = True
             self.note(
-                log_events.Event.LOAD_WAITED,
+                log_events.Event.LOAD_WAIT_STARTED,
                 item=message.item,
                 zone=message.zone,
                 expected_ms=message.expected,
--- a/basaltport/query_api/zone_controller/load_permits.py
+++ b/basaltport/query_api/zone_controller/load_permits.py
@@ -110,7 +110,7 @@
         if self.store_fence != owner.fence:
             self.store_fence = owner.fence
             self.store_accounts = {}
-            self.note(log_events.Event.STORE_DUTY_TAKEN, fence=owner.fence)
+            self.note(log_events.Event.STORE_ROLE_TAKEN, fence=owner.fence)
 
     def hear_load_permit_request(self, source: str, message: messages.LoadPermitRequest) -> None:
         """Grant permits within what all zones together may load."""
--- a/basaltport/query_api/zone_controller/zone_controller.py
+++ b/basaltport/query_api/zone_controller/zone_controller.py
@@ -53,7 +53,7 @@
             if name not in self.owned_zones:
                 self.owned_zones[name] = owned_zone.new(name, fence, self.now)
                 self.list_replicas(self.owned_zones[name])
-                self.note(log_events.Event.DUTY_TAKEN, zone=name, fence=int(fence))
+                self.note(log_events.Event.ZONE_ROLE_TAKEN, zone=name, fence=int(fence))
 
     def tick_zone_controller(self) -> None:
         """Poll, place, ask for permits and publish, for each zone."""
@@ -91,7 +91,7 @@
         """A replica stopped answering."""
         if known.up:
             known.up = False
-            self.note(log_events.Event.REPLICA_DARK, replica=known.id)
+            self.note(log_events.Event.REPLICA_UNREACHABLE, replica=known.id)
 
     def is_unheard(self, zone: owned_zone.OwnedZone, grace_ms: int) -> bool:
         """Whether a new controller should still wait for the first report of some replica."""
@@ -121,9 +121,7 @@
         """Take a replica's report, unless it obeys a newer controller or the report is an old one."""
         report = replica.report_of(state)
         if report.fence > zone.fence:
-            self.note(
-                log_events.Event.FENCE_PASSED, replica=known.id, fence=int(zone.fence), seen=report.fence
-            )
+            self.note(log_events.Event.FENCED_OUT, replica=known.id, fence=int(zone.fence), seen=report.fence)
             return
         if report.epoch == known.epoch and report.number <= known.report_number:
             return
@@ -143,7 +141,7 @@
         known.epoch = report.epoch
         known.fresh_since = self.now - report.up_ms
         known.ordered = {}
-        self.note(log_events.Event.REPLICA_MET, replica=known.id, epoch=known.epoch)
+        self.note(log_events.Event.REPLICA_STARTED, replica=known.id, epoch=known.epoch)
 
     def take_held(
         self,
