--- a/basaltport/consensus/discovery.py
+++ b/basaltport/consensus/discovery.py
@@ -15,7 +15,7 @@
 
     def discovery_start(self):
         self.members = {}
-        self.hello_at = -(10**9)
+        self.hello_sent_at_ms = -(10**9)
 
     def led(self):
         """Leading, or hearing a leader; where disk members alone vote, only while it is one of them."""
@@ -31,9 +31,11 @@
         needed."""
         if self.policy.disk_members_only and self.stopped:
             return
-        if self.now < self.hello_at + (self.policy.hello_interval_led_ms if self.led() else timing.HELLO):
+        if self.now < self.hello_sent_at_ms + (
+            self.policy.hello_interval_led_ms if self.led() else timing.HELLO
+        ):
             return
-        self.hello_at = self.now
+        self.hello_sent_at_ms = self.now
         known = [m for m in self.heard_within(KNOWN) if self.admits(m["role"])]
         known = known[: self.policy.known_members_max]
         for a in self.hello_addresses(known):
@@ -85,7 +87,7 @@
             if r["name"] != self.me.name and r["name"] not in self.members:
                 self.members[r["name"]] = {**r, "at": self.now - HEARSAY}
         if self.policy.joint_consensus:
-            self.see_return(m.seat)
+            self.note_return(m.seat)
             self.pass_on(m, old)
 
     def pass_on(self, m, old):
@@ -95,7 +97,7 @@
         if new and not known and not self.leading and self.hears_leader():
             self.send(self.leader.addr, m)
 
-    def addr_of(self, seat):
+    def address_of(self, seat):
         """Where a seat was last heard of, else where the roster has it."""
         row = quorum.voters(self.book).get(seat)
         if row:
@@ -107,4 +109,4 @@
         return None
 
     def addrs(self):
-        return sorted({self.addr_of(s) for s in self.book["roster"]})
+        return sorted({self.address_of(s) for s in self.book["roster"]})
--- a/basaltport/consensus/election.py
+++ b/basaltport/consensus/election.py
@@ -36,16 +36,16 @@
 class ElectionMixin:
     """`camp`: the candidacy under way."""
 
-    def elect_start(self):
-        self.elect_at = self.now
-        self.canvass_at = NEVER
+    def election_start(self):
+        self.election_ticked_at_ms = self.now
+        self.pre_vote_sent_at_ms = NEVER
         self.free = {}
-        self.camp = None
+        self.candidacy = None
         self.top = 0
         self.lost_names = set()
-        self.told_missing = self.now
-        self.camp_since = None
-        self.camp_at = self.now + self.jitter()
+        self.missing_noted_at_ms = self.now
+        self.standing_since_ms = None
+        self.candidacy_due_at_ms = self.now + self.jitter()
         self.listeners.transfer_heard.append(self.take_over)
 
     # when to stand
@@ -66,7 +66,7 @@
         rank = seats.index(self.me.seat) if self.me.seat in seats else len(seats)
         return rank * timing.RANK_STEP
 
-    def may_stand(self):
+    def may_be_candidate(self):
         if not self.policy.pre_vote:
             return True
         if self.head()[1] == 0:
@@ -81,89 +81,89 @@
         return ELECTION_TIMEOUT
 
     def tick_elect(self):
-        slept = self.now - self.elect_at > timing.VOTE_REFUSAL
-        self.elect_at = self.now
+        slept = self.now - self.election_ticked_at_ms > timing.VOTE_REFUSAL
+        self.election_ticked_at_ms = self.now
         if self.leading or self.stopped:
             return
         timeout = self.election_timeout()
         if self.now - self.heard_at < timeout:
-            self.camp = self.camp_since = None
+            self.candidacy = self.standing_since_ms = None
             since = self.heard_at if self.policy.pre_vote else self.now
-            self.camp_at = since + timeout + self.jitter()
+            self.candidacy_due_at_ms = since + timeout + self.jitter()
             return
         if slept and self.policy.pre_vote:
-            self.camp_at = max(self.camp_at, self.now + timing.RANK_STEP)
+            self.candidacy_due_at_ms = max(self.candidacy_due_at_ms, self.now + timing.RANK_STEP)
         if self.policy.pre_vote:
             self.tick_pre_vote()
             return
         self.tick_campaign()
 
     def tick_pre_vote(self):
-        if self.camp:
-            self.go_on()
+        if self.candidacy:
+            self.continue_candidacy()
             return
-        if self.now < self.camp_at or self.now - self.promised_at < timing.CAMPAIGN:
+        if self.now < self.candidacy_due_at_ms or self.now - self.voted_at_ms < timing.CAMPAIGN:
             return
-        if self.stalled or self.bad or not self.may_stand() or not self.may_vote():
+        if self.stalled or self.bad or not self.may_be_candidate() or not self.may_vote():
             return
-        if self.now - self.canvass_at >= timing.ASK_AGAIN:
-            self.canvass()
+        if self.now - self.pre_vote_sent_at_ms >= timing.ASK_AGAIN:
+            self.start_pre_vote()
 
-    def go_on(self):
+    def continue_candidacy(self):
         """A candidacy under way: those that have not answered are asked again, until its time is over."""
-        c = self.camp
-        if self.promised != c.term or self.now - c.started_at >= timing.CAMPAIGN:
-            self.camp = None
-            self.camp_at = self.now + self.jitter()
+        c = self.candidacy
+        if self.current_term != c.term or self.now - c.started_at >= timing.CAMPAIGN:
+            self.candidacy = None
+            self.candidacy_due_at_ms = self.now + self.jitter()
             return
-        if self.dur_promised != c.term:
+        if self.synced_term != c.term:
             return
-        self.weigh()
-        if self.camp is c and self.now - c.requested_at >= timing.ASK_AGAIN:
+        self.count_votes()
+        if self.candidacy is c and self.now - c.requested_at >= timing.ASK_AGAIN:
             c.requested_at = self.now
             self.out.extend(self.asks())
 
     def tick_campaign(self):
         """Without pre-vote: each round a new term."""
-        c = self.camp
-        if c and self.promised == c.term and len(c.votes) > 1:
-            self.weigh()
+        c = self.candidacy
+        if c and self.current_term == c.term and len(c.votes) > 1:
+            self.count_votes()
             if self.leading:
                 return
-        if self.now < self.camp_at or self.now - self.promised_at < ROUND + self.jitter():
+        if self.now < self.candidacy_due_at_ms or self.now - self.voted_at_ms < ROUND + self.jitter():
             return
         if self.stalled or self.bad:
             return
-        self.campaign()
+        self.start_candidacy()
 
     def take_over(self, m):
         """The leader hands over; whom it names stands next, disk at work or not."""
         if m.to != self.me.seat:
             return
         if not self.leading and not self.stalled and not self.bad:
-            self.campaign()
+            self.start_candidacy()
         if self.policy.pre_vote:
-            self.camp_at, self.promised_at = self.now, NEVER
+            self.candidacy_due_at_ms, self.voted_at_ms = self.now, NEVER
 
     # pre-vote: whether others hear a leader
 
-    def canvass(self):
-        self.canvass_at = self.now
-        m = messages.Canvass(self.me.name, self.me.addr)
+    def start_pre_vote(self):
+        self.pre_vote_sent_at_ms = self.now
+        m = messages.PreVoteRequest(self.me.name, self.me.addr)
         for a in self.peer_addresses():
             self.send(a, m)
-        self.count_free()
+        self.count_pre_votes()
 
-    def hear_canvassed(self, src, m):
+    def hear_pre_vote(self, src, m):
         self.free[m.name] = (self.now if m.ok else NEVER, m.addr)
-        if m.ok and self.now - self.canvass_at < timing.CAMPAIGN:
-            self.count_free()
+        if m.ok and self.now - self.pre_vote_sent_at_ms < timing.CAMPAIGN:
+            self.count_pre_votes()
 
-    def count_free(self):
+    def count_pre_votes(self):
         """By names: one that lost its disk may vote for nothing, but knows whether there is a leader."""
-        if self.leading or self.camp or self.stopped or self.stalled or self.hears_leader():
+        if self.leading or self.candidacy or self.stopped or self.stalled or self.hears_leader():
             return
-        if not self.may_stand():
+        if not self.may_be_candidate():
             return
         fresh = {n: a for n, (at, a) in self.free.items() if self.now - at < timing.CAMPAIGN}
         fresh[self.me.name] = self.me.addr
@@ -172,118 +172,118 @@
         else:
             said, of = set(fresh), {r["name"] for r in self.tip()["roster"].values()}
         if quorum.is_majority(said, of):
-            self.campaign()
+            self.start_candidacy()
 
     # asking for votes
 
     def asks(self):
-        m = messages.Campaign(self.camp.term, self.me.seat, self.me.name, self.me.addr)
-        heard = {p.me["addr"] for p in self.camp.votes.values()}
+        m = messages.VoteRequest(self.candidacy.term, self.me.seat, self.me.name, self.me.addr)
+        heard = {p.me["addr"] for p in self.candidacy.votes.values()}
         return [events.Send(a, m) for a in self.peer_addresses() if a not in heard]
 
     def next_term(self):
         """A term that no other member can ask for: of this member's id, since two may bear one name (M1)."""
         owner = self.me.seat if self.policy.pre_vote else self.me.name
-        return identifiers.Term(max(self.promised.count, self.top) + 1, owner)
+        return identifiers.Term(max(self.current_term.count, self.top) + 1, owner)
 
-    def campaign(self):
-        if self.policy.pre_vote and (self.stopped or not self.may_stand() or not self.may_vote()):
+    def start_candidacy(self):
+        if self.policy.pre_vote and (self.stopped or not self.may_be_candidate() or not self.may_vote()):
             return
         if not self.policy.pre_vote:
-            self.camp_at = self.now + ROUND + self.jitter()
+            self.candidacy_due_at_ms = self.now + ROUND + self.jitter()
         self.free = {}
-        if self.camp_since is None:
-            self.camp_since = self.told_missing = self.now
-        if self.now - self.told_missing >= OVERRIDE:
-            self.told_missing = self.now
+        if self.standing_since_ms is None:
+            self.standing_since_ms = self.missing_noted_at_ms = self.now
+        if self.now - self.missing_noted_at_ms >= OVERRIDE:
+            self.missing_noted_at_ms = self.now
             self.note(19, missing=self.missing())
         term = self.next_term()
-        self.promised = term
-        self.camp = Candidacy(term, {self.me.seat: self.promise(term, True)}, self.now, self.now)
+        self.current_term = term
+        self.candidacy = Candidacy(term, {self.me.seat: self.promise(term, True)}, self.now, self.now)
         # M1: the candidate's own vote is on the disk before it asks for others.
         self.write([log.TermRecord(term)], then=self.asks())
         self.note(11, generation=term.text())
 
-    def hear_promise(self, src, m):
-        c = self.camp
+    def hear_vote(self, src, m):
+        c = self.candidacy
         if c is None or self.leading:
             return
         if not m.ok:
-            self.top = max(self.top, m.promised.count)
+            self.top = max(self.top, m.current_term.count)
             return
-        if m.gen != c.term or self.promised != c.term:
+        if m.gen != c.term or self.current_term != c.term:
             return
         c.votes[m.seat] = m
-        self.weigh()
+        self.count_votes()
 
-    def hear_copy(self, src, m):
+    def hear_snapshot(self, src, m):
         """A newer log that was asked for; an older one changes nothing (M6)."""
-        c = self.camp
+        c = self.candidacy
         if self.policy.pre_vote and not self.is_newer(m.copy):
             return
-        if c is None or m.gen != c.term or self.promised != c.term:
+        if c is None or m.gen != c.term or self.current_term != c.term:
             return
         self.install(m.copy)
-        self.weigh()
+        self.count_votes()
 
     def is_newer(self, copy):
         return (copy.last_term, copy.last_index) > self.head()
 
     # counting them
 
-    def weigh(self):
-        c = self.camp
+    def count_votes(self):
+        c = self.candidacy
         # M1: a vote counts once it is synced, this member's own as well.
-        if self.dur_promised != c.term:
+        if self.synced_term != c.term:
             return
         best = max(c.votes.values(), key=lambda p: (p.hgen, p.serial))
         if best.serial == 0:
-            self.weigh_founding()
+            self.count_founding_votes()
             return
         # M1: the newest log of a majority leads.
         if (best.hgen, best.serial) > self.head():
-            self.fetch_from(best.me["addr"])
+            self.request_snapshot_from(best.me["addr"])
             return
-        if not self.may_stand():
-            self.camp = None
+        if not self.may_be_candidate():
+            self.candidacy = None
             return
         if self.quorum(c.votes):
             self.win()
             return
-        swap = self.attested(c.votes)
+        swap = self.proven_replacements(c.votes)
         if swap:
             self.win(swap=swap)
             return
-        drops = self.overridden(c.votes)
+        drops = self.members_declared_lost(c.votes)
         if drops:
             self.win(drops=drops)
 
-    def fetch_from(self, addr):
-        c = self.camp
+    def request_snapshot_from(self, addr):
+        c = self.candidacy
         if self.now - c.fetched_at >= self.policy.snapshot_request_interval_ms:
             c.fetched_at = self.now
-            self.send(addr, messages.Fetch(c.term, self.me.seat))
+            self.send(addr, messages.SnapshotRequest(c.term, self.me.seat))
 
     def quorum(self, got):
         """Whether the votes of these seats elect."""
         return quorum.has_majority(self.tip(), got.keys())
 
     def win(self, found=None, swap=(), drops=()):
-        c = self.camp
-        self.camp = None
-        self.camp_since = None
+        c = self.candidacy
+        self.candidacy = None
+        self.standing_since_ms = None
         self.note(13, generation=c.term.text(), serial=int(self.head()[1]))
         self.lost_names = set()
-        self.lead_start(found, c.votes, list(swap), list(drops))
+        self.start_leading(found, c.votes, list(swap), list(drops))
 
     # lost members
 
     def missing(self):
         """Names of roster members whose vote is not there."""
-        got = self.camp.votes if self.camp else {}
+        got = self.candidacy.votes if self.candidacy else {}
         return sorted(r["name"] for s, r in self.tip()["roster"].items() if s not in got)
 
-    def overridden(self, got):
+    def members_declared_lost(self, got):
         """An operator's word that members are gone for good: most of the others are enough."""
         roster = self.tip()["roster"]
         drops = [s for s, r in roster.items() if r["name"] in self.lost_names and s not in got]
--- a/basaltport/consensus/follower.py
+++ b/basaltport/consensus/follower.py
@@ -20,24 +20,24 @@
 class FollowerMixin:
     """`book` is what is in force here; `tail` is held but not yet known to be agreed."""
 
-    def follower_start(self, held=None, promised=NONE):
+    def follower_start(self, held=None, current_term=NONE):
         """Acknowledgements are numbered apart from those of an earlier life of the same member."""
         held = held or state_machine.ReplicatedState()
         self.book = held.cluster_state
         self.tail = list(held.uncommitted)
         self.stopped = False
-        self.outdated = set()
+        self.older_terms_noted = set()
         self.replayed = set()
-        self.beat_n = 0
+        self.newest_heartbeat_number = 0
         self.leader = None
         self.heard_at = LONG_AGO
-        self.ack_k = self.rng.getrandbits(30) << LIFE if self.policy.pre_vote else 0
+        self.last_ack_number = self.rng.getrandbits(30) << LIFE if self.policy.pre_vote else 0
         self.sent_at = {}
-        self.lease_end = -1
-        self.dur = self.head()
-        self.dur_promised = promised
-        self.retained = {}
-        self.retained_size = 0
+        self.lease_expires_at_ms = -1
+        self.synced_head = self.head()
+        self.synced_term = current_term
+        self.retained_entries = {}
+        self.retained_bytes = 0
 
     def head(self):
         if self.tail:
@@ -45,7 +45,7 @@
         return book.gen(self.book), book.serial(self.book)
 
     def leased(self):
-        return self.now < self.lease_end
+        return self.now < self.lease_expires_at_ms
 
     def tip(self):
         b = self.book
@@ -53,8 +53,8 @@
             b = book.apply(b, e)
         return b
 
-    def durable_head(self, head, promise):
-        self.dur, self.dur_promised = head, promise
+    def mark_synced(self, head, promise):
+        self.synced_head, self.synced_term = head, promise
         if self.leader:
             self.ack(self.leader)
         for call in self.listeners.log_synced:
@@ -74,7 +74,7 @@
         self.leader = None
         self.heard_at = since
 
-    def hear_yield(self, src, m):
+    def hear_leadership_transfer(self, src, m):
         followed = self.leader is not None and m.gen == self.leader.gen
         if followed:
             for call in self.listeners.leader_resigned:
@@ -86,20 +86,20 @@
 
     # heartbeats
 
-    def hear_beat(self, src, m):
-        self.take_beat(m)
+    def hear_heartbeat(self, src, m):
+        self.take_heartbeat(m)
         for call in self.listeners.heartbeat_heard:
             call(m)
 
-    def take_beat(self, m):
+    def take_heartbeat(self, m):
         if self.policy.ordered_heartbeats and not self.in_order(m):
             return
-        if m.gen < self.promised:
-            self.refuse_beat(m)
+        if m.gen < self.current_term:
+            self.refuse_heartbeat(m)
             return
-        if m.gen > self.promised:
-            self.promised = m.gen
-            self.lost_lead(m.gen)
+        if m.gen > self.current_term:
+            self.current_term = m.gen
+            self.lose_leadership(m.gen)
             self.write([log.TermRecord(m.gen)])
         self.note_leader(m)
         need = False
@@ -110,12 +110,14 @@
         self.advance(m.commit, m.cgen)
         # M5: a lease runs from the sending of an acknowledgement that the leader had.
         if m.echo in self.sent_at and not self.stopped:
-            self.lease_end = max(self.lease_end, self.sent_at[m.echo] + self.policy.follower_lease_ms - m.age)
+            self.lease_expires_at_ms = max(
+                self.lease_expires_at_ms, self.sent_at[m.echo] + self.policy.follower_lease_ms - m.age
+            )
         self.ack(m, need)
 
     def in_order(self, m):
         """What comes late by an older connection must not take back what was synced since (M6)."""
-        if self.leader is not None and m.gen == self.leader.gen and m.n < self.beat_n:
+        if self.leader is not None and m.gen == self.leader.gen and m.n < self.newest_heartbeat_number:
             return False
         g, s = self.head()
         if m.copy and g == m.gen:
@@ -123,35 +125,44 @@
                 m.copy = None
         return True
 
-    def refuse_beat(self, m):
-        if m.gen not in self.outdated:
-            self.outdated = {m.gen}
-            self.note(34, leader=m.name, generation=m.gen.text(), promised=self.promised.text())
-        self.send(m.addr, self.ack_for(m.n, False, False))
+    def refuse_heartbeat(self, m):
+        if m.gen not in self.older_terms_noted:
+            self.older_terms_noted = {m.gen}
+            self.note(34, leader=m.name, generation=m.gen.text(), current_term=self.current_term.text())
+        self.send(m.addr, self.heartbeat_ack(m.n, False, False))
 
     def note_leader(self, m):
         if self.leader is None or self.leader.gen != m.gen:
             self.note(10, leader=m.name, generation=m.gen.text())
-            self.beat_n = 0
-        if m.n + REPLAYED <= self.beat_n and m.gen not in self.replayed:
+            self.newest_heartbeat_number = 0
+        if m.n + REPLAYED <= self.newest_heartbeat_number and m.gen not in self.replayed:
             self.replayed = {m.gen}
-            self.note(35, leader=m.name, generation=m.gen.text(), n=m.n, newest=self.beat_n)
-        self.beat_n = max(self.beat_n, m.n)
+            self.note(35, leader=m.name, generation=m.gen.text(), n=m.n, newest=self.newest_heartbeat_number)
+        self.newest_heartbeat_number = max(self.newest_heartbeat_number, m.n)
         self.leader = m
         self.heard_at = self.now
 
     def ack(self, m, need=False):
-        if self.durable and self.dur_promised != self.promised:
+        if self.durable and self.synced_term != self.current_term:
             return
-        self.send(m.addr, self.ack_for(m.n, True, need))
-
-    def ack_for(self, n, ok, need):
-        self.ack_k += 1
-        self.sent_at[self.ack_k] = self.now
-        self.sent_at.pop(self.ack_k - REMEMBERED_ACKS, None)
-        g, s = self.dur if self.durable else self.head()
-        return messages.Ack(
-            self.promised, self.me.seat, n, self.ack_k, ok, self.promised, g, s, book.serial(self.book), need
+        self.send(m.addr, self.heartbeat_ack(m.n, True, need))
+
+    def heartbeat_ack(self, n, ok, need):
+        self.last_ack_number += 1
+        self.sent_at[self.last_ack_number] = self.now
+        self.sent_at.pop(self.last_ack_number - REMEMBERED_ACKS, None)
+        g, s = self.synced_head if self.durable else self.head()
+        return messages.HeartbeatAck(
+            self.current_term,
+            self.me.seat,
+            n,
+            self.last_ack_number,
+            ok,
+            self.current_term,
+            g,
+            s,
+            book.serial(self.book),
+            need,
         )
 
     # the log
@@ -197,23 +208,25 @@
 
     def retain(self, e):
         """Committed entries without a gap, the newest of them, for members that lack them."""
-        if self.retained and e["s"] - 1 not in self.retained:
-            self.clear_retained()
-        self.retained[e["s"]] = e
-        self.retained_size += sizes.entry_size(e)
+        if self.retained_entries and e["s"] - 1 not in self.retained_entries:
+            self.clear_retained_entries()
+        self.retained_entries[e["s"]] = e
+        self.retained_bytes += sizes.entry_size(e)
         limit = self.policy.retained_bytes_max
-        while len(self.retained) > self.policy.retained_entries_max or (
-            limit is not None and self.retained_size > limit and len(self.retained) > 1
+        while len(self.retained_entries) > self.policy.retained_entries_max or (
+            limit is not None and self.retained_bytes > limit and len(self.retained_entries) > 1
         ):
-            self.retained_size -= sizes.entry_size(self.retained.pop(next(iter(self.retained))))
+            self.retained_bytes -= sizes.entry_size(
+                self.retained_entries.pop(next(iter(self.retained_entries)))
+            )
         for call in self.listeners.entry_retained:
             call(e)
 
     def retained_behind(self, was):
         """A copy took the place of what was in force at serial `was`."""
         at = self.book["serial"]
-        if at > was and at not in self.retained:
-            self.clear_retained()
+        if at > was and at not in self.retained_entries:
+            self.clear_retained_entries()
 
-    def clear_retained(self):
-        self.retained, self.retained_size = {}, 0
+    def clear_retained_entries(self):
+        self.retained_entries, self.retained_bytes = {}, 0
--- a/basaltport/consensus/follower_lease.py
+++ b/basaltport/consensus/follower_lease.py
@@ -25,7 +25,7 @@
             if self.now >= until:
                 del self.lapse[x]
                 continue
-            e = self.echoes.get(x)
+            e = self.latest_acks.get(x)
             if e is None or e[2] < s:
                 return True
         return False
@@ -35,7 +35,7 @@
         if not self.settled() or s not in self.tip_book["roster"]:
             return
         self.lapse.pop(s, None)
-        self.echoes.pop(s, None)
+        self.latest_acks.pop(s, None)
         self.left.add(s)
 
 
@@ -43,10 +43,10 @@
     """Which acknowledgement a heartbeat of the older path gives back, by which a follower's lease is
     renewed."""
 
-    def echo_for(self, s, r):
-        if r["role"] != "rostrum" or s not in self.echoes or s in self.left:
+    def ack_to_return(self, s, r):
+        if r["role"] != "rostrum" or s not in self.latest_acks or s in self.left:
             return 0
-        k, at, applied = self.echoes[s]
+        k, at, applied = self.latest_acks[s]
         if applied < self.acked or self.late(applied):
             return 0
         self.lapse[s] = max(self.lapse.get(s, 0), at + self.policy.follower_lease_ms + MARGIN)
--- a/basaltport/consensus/founding.py
+++ b/basaltport/consensus/founding.py
@@ -16,12 +16,12 @@
 class FoundingMixin:
     """Needs the candidacy of ElectionMixin."""
 
-    def attested(self, got):
+    def proven_replacements(self, got):
         if self.policy.joint_consensus:
-            return self.attested_by_address(got)
-        return self.attested_by_name(got)
+            return self.replacements_proven_by_address(got)
+        return self.replacements_proven_by_name(got)
 
-    def attested_by_address(self, got):
+    def replacements_proven_by_address(self, got):
         """Seats whose disks are proven lost, with the rows that take their places. Proof is a new seat at the
         very address of the former one: no two processes hold one address, and a seat is kept on its disk. A
         name alone proves nothing, since the former member may live. With half of the seats here and such
@@ -36,9 +36,9 @@
         swap = [[s, fresh[r["addr"]]] for s, r in roster.items() if s not in kept and r["addr"] in fresh]
         if 2 * len(kept) < len(roster) or 2 * (len(kept) + len(swap)) <= len(roster):
             return None
-        return swap if self.now - self.camp_since >= timing.ATTESTED else None
+        return swap if self.now - self.standing_since_ms >= timing.ATTESTED else None
 
-    def attested_by_name(self, got):
+    def replacements_proven_by_name(self, got):
         """After a power cut: most disk members, and successors attesting the loss of seats they replace."""
         t = self.tip()
         roster = t["roster"]
@@ -49,19 +49,19 @@
             return None
         if 2 * len(kept & set(t["ledgers"])) <= len(t["ledgers"]):
             return None
-        return swap if self.now - self.camp_since >= RESTART else None
+        return swap if self.now - self.standing_since_ms >= RESTART else None
 
-    def weigh_founding(self):
+    def count_founding_votes(self):
         if self.policy.disk_members_only:
             self.found_with_founders()
             return
         self.found_with_expected()
 
     def found_with_founders(self):
-        c = self.camp
+        c = self.candidacy
         of = self.me.founders
         ps = {p.me["addr"]: p for p in c.votes.values() if p.me.get("first") and p.me["addr"] in of}
-        if not self.may_stand() or 2 * len(ps) <= len(of):
+        if not self.may_be_candidate() or 2 * len(ps) <= len(of):
             return
         if len(ps) < len(of) and self.now - c.started_at < timing.ALL_FOUNDERS:
             return
@@ -71,7 +71,7 @@
         self.win(found)
 
     def found_with_expected(self):
-        votes = self.camp.votes
+        votes = self.candidacy.votes
         names = {p.name for p in votes.values()}
         if 2 * len(names) <= self.me.expected:
             return
--- a/basaltport/consensus/leadership.py
+++ b/basaltport/consensus/leadership.py
@@ -15,37 +15,37 @@
 class LeadershipMixin:
     """Holds nothing that a new leader could not learn again."""
 
-    def lead_clear(self):
+    def clear_leadership(self):
         self.leading = False
         self.clear_reads()
         self.clear_waiting()
         self.clear_learners()
         self.clear_lease()
 
-    def lead_start(self, found, got, swap, drops):
+    def start_leading(self, found, got, swap, drops):
         """`got`: votes by seat; `found`: the first members; `swap`, `drops`: members that are replaced or
         gone."""
         before, heard, self.leading = self.leader, self.heard_at, True
         self.since = self.now
         self.first = None
-        self.lead_at = self.now
-        self.awake_at = -(10**9)
-        self.patient = self.now
-        self.former_term, top = self.head()
+        self.leader_ticked_at_ms = self.now
+        self.resumed_at_ms = -(10**9)
+        self.no_step_down_before_ms = self.now
+        self.previous_term, top = self.head()
         self.clear_reads()
         self.clear_waiting()
         self.acknowledge_from(top)
         self.replication_start(got)
         self.lease_start()
         if not self.policy.followers_retain_entries:
-            self.clear_retained()
+            self.clear_retained_entries()
         self.leader = None
         self.tip_book = self.tip()
         self.follower_leases_start(swap)
         self.open_membership_start()
         self.append({"op": "found", **found} if found else self.first_entry(got, swap, drops))
         if self.policy.joint_consensus and before and before.seat not in got:
-            self.acks[before.seat] = heard
+            self.acked_at_ms[before.seat] = heard
         for call in self.listeners.leadership_started:
             call(got)
 
@@ -65,20 +65,20 @@
         self.note(15, why=why)
         self.give_up_waiting()
         self.give_up_reads(why)
-        self.lead_clear()
+        self.clear_leadership()
         self.follow_nobody(self.now)
         for call in self.listeners.leadership_ended:
             call()
 
     def append(self, op):
-        g = self.promised
+        g = self.current_term
         e = book.entry(self.head()[1] + 1, g, book.operation(op))
         self.tail.append(e)
         self.tip_book = book.apply(self.tip_book, e)
         if self.first is None:
             self.first = e["s"]
         self.write([log.EntryRecord(e)])
-        self.beat_at = -(10**9)
+        self.heartbeat_sent_at_ms = -(10**9)
         return identifiers.LogIndex(e["s"])
 
     def pending(self, *ops):
@@ -91,30 +91,33 @@
     def tick_lead(self):
         if not self.leading:
             return
-        self.see_pause()
-        if self.now - self.vouched > self.policy.leader_step_down_ms and self.now > self.patient:
+        self.note_pause()
+        if (
+            self.now - self.lease_started_at_ms > self.policy.leader_step_down_ms
+            and self.now > self.no_step_down_before_ms
+        ):
             self.step_down("not vouched for by most seats")
             return
         if not self.settled() and self.now - self.since > self.policy.first_commit_timeout_ms:
             self.step_down("nothing could be agreed")
             return
         if self.disk_stalls() and self.resign_by_choice("the disk stalls"):
-            self.camp_at = self.now + 2 * timing.DISK_STALL
+            self.candidacy_due_at_ms = self.now + 2 * timing.DISK_STALL
             return
-        self.keep_roster()
+        self.maintain_membership()
         for call in self.listeners.leader_tick:
             call()
-        if self.now - self.beat_at >= timing.HEARTBEAT:
+        if self.now - self.heartbeat_sent_at_ms >= timing.HEARTBEAT:
             self.beat()
         self.settle()
 
-    def see_pause(self):
+    def note_pause(self):
         """After the process stood still a leader waits before it steps down, or judges others."""
-        if self.now - self.lead_at > timing.PAUSED:
-            self.patient = self.now + timing.WAKING
+        if self.now - self.leader_ticked_at_ms > timing.PAUSED:
+            self.no_step_down_before_ms = self.now + timing.WAKING
             if self.policy.joint_consensus:
-                self.awake_at = self.now
-        self.lead_at = self.now
+                self.resumed_at_ms = self.now
+        self.leader_ticked_at_ms = self.now
 
     def disk_stalls(self):
         """More than a second for a sync and what its bytes may take; time that we slept is not the disk's."""
--- a/basaltport/consensus/leadership_transfer.py
+++ b/basaltport/consensus/leadership_transfer.py
@@ -16,7 +16,7 @@
         """Voting seats that answered lately, this one included."""
         since = self.now - timing.RESPONSIVE
         voters = quorum.voters(self.tip_book)
-        return {s for s in voters if s == self.me.seat or self.acks.get(s, since) > since}
+        return {s for s in voters if s == self.me.seat or self.acked_at_ms.get(s, since) > since}
 
     def successor(self):
         """The seat of the roster that holds the most, where the others are a majority without this one."""
@@ -37,8 +37,8 @@
     def hand_over(self, why):
         to = self.successor()
         if to:
-            m = messages.Yield(self.promised, identifiers.MemberId(to))
-            for a in self.voter_addrs() if self.policy.joint_consensus else self.addrs():
+            m = messages.LeadershipTransfer(self.current_term, identifiers.MemberId(to))
+            for a in self.voter_addresses() if self.policy.joint_consensus else self.addrs():
                 self.send(a, m)
         self.step_down(why)
 
@@ -60,7 +60,7 @@
             return
         self.step_down("the disk failed")
 
-    def voter_addrs(self):
+    def voter_addresses(self):
         """Addresses of all other voters."""
         voters = quorum.voters(self.tip())
-        return sorted({self.addr_of(s) or r["addr"] for s, r in voters.items()} - {self.me.addr})
+        return sorted({self.address_of(s) or r["addr"] for s, r in voters.items()} - {self.me.addr})
--- a/basaltport/consensus/leaving.py
+++ b/basaltport/consensus/leaving.py
@@ -29,7 +29,7 @@
 
     def leaving_start(self):
         self.gone = {}
-        self.leave_at = None
+        self.leaving_said_at_ms = None
         if self.policy.joint_consensus:
             self.listeners.heartbeat_heard.append(self.tell_leader)
 
@@ -40,28 +40,28 @@
         self.stopped = True
         self.stopped_at = self.now
         if self.policy.joint_consensus:
-            self.say_leave(self.voter_addrs())
+            self.announce_leaving(self.voter_addresses())
         if self.leading:
             self.hand_over("it stops")
 
-    def say_leave(self, addrs):
-        self.leave_at = self.now
+    def announce_leaving(self, addrs):
+        self.leaving_said_at_ms = self.now
         for a in addrs:
             self.send(a, messages.Leave(self.me.seat))
 
     def tell_leader(self, m):
         """A leader that was elected since is told as well that this member leaves."""
-        if self.stopped and self.now - self.leave_at >= timing.LEAVE_AGAIN:
-            self.say_leave([m.addr])
+        if self.stopped and self.now - self.leaving_said_at_ms >= timing.LEAVE_AGAIN:
+            self.announce_leaving([m.addr])
 
-    def hear_leave(self, src, m):
+    def hear_member_leaving(self, src, m):
         if not self.policy.joint_consensus:
             self.follower_stops(m.seat)
             return
         self.gone[m.seat] = self.now
         self.learners.pop(m.seat, None)
 
-    def see_return(self, s):
+    def note_return(self, s):
         """One that acknowledges or says hello long after it said that it leaves has come back. What it sent
         before may come later than its leave."""
         if self.now - self.gone.get(s, self.now) > timing.LEFT:
--- a/basaltport/consensus/membership.py
+++ b/basaltport/consensus/membership.py
@@ -28,7 +28,7 @@
         self.learning_since = {s: self.learning_since.get(s, self.now) for s in self.learners}
         self.needs |= {s for s in self.learners if s not in self.match and s not in self.sent}
 
-    def keep_roster(self):
+    def maintain_membership(self):
         if self.policy.joint_consensus:
             self.change_one_member()
             return
@@ -50,20 +50,20 @@
             if m["seat"] in roster and roster[m["seat"]] != codec.decode_member(m):
                 self.append({"op": "roster", "add": m})
                 return
-        self.add_seat(roster) or self.drop_seats(roster)
+        self.add_member(roster) or self.drop_seats(roster)
 
     def quiet(self, s):
         """Milliseconds since a seat was last heard, as far as this leader could hear it."""
         if s == self.me.seat:
             return 0
-        return self.now - max(self.acks.get(s, self.since), self.awake_at)
+        return self.now - max(self.acked_at_ms.get(s, self.since), self.resumed_at_ms)
 
     def ready(self, s):
         """Whether a learner has all that is agreed, synced, and answers."""
         caught_up = self.match.get(s, -1) >= self.book["serial"]
-        return caught_up and self.now - self.acks.get(s, -(10**9)) < timing.RESPONSIVE
+        return caught_up and self.now - self.acked_at_ms.get(s, -(10**9)) < timing.RESPONSIVE
 
-    def add_seat(self, roster):
+    def add_member(self, roster):
         """A learner that is ready takes the place of its former self or of a seat that is lost; where all
         others live it comes beside them. While a seat may be lost, it waits for what becomes of it."""
         # M8: it has all that is committed before it votes.
@@ -91,10 +91,10 @@
         for s in sorted(roster):
             if roster[s]["addr"] == row["addr"]:
                 return s
-        lost = [s for s in roster if self.lost_seat(s)]
+        lost = [s for s in roster if self.is_lost_member(s)]
         return min(lost, key=lambda s: (roster[s]["name"] != row["name"], self.drop_order(s)), default=None)
 
-    def lost_seat(self, s):
+    def is_lost_member(self, s):
         """Whether a seat said lately that it leaves, or was not heard for long."""
         if s == self.me.seat:
             return False
@@ -104,12 +104,12 @@
     def drop_order(self, s):
         """The one heard of longest ago goes first: one that said that it leaves still votes, which the others
         may need to agree that one less votes."""
-        return self.acks.get(s, self.since), s
+        return self.acked_at_ms.get(s, self.since), s
 
     def drop_seats(self, roster):
         """Lost seats go where without them more losses are borne, all in one joint change: with one less at a
         time, majorities on the way would need more of those that are left."""
-        lost = sorted((s for s in roster if self.lost_seat(s)), key=self.drop_order)
+        lost = sorted((s for s in roster if self.is_lost_member(s)), key=self.drop_order)
         drops = lost[: leaving.seats_to_drop(len(roster), len(roster) - len(lost))]
         if not drops:
             return False
--- a/basaltport/consensus/node.py
+++ b/basaltport/consensus/node.py
@@ -34,13 +34,13 @@
 
     leading = False
 
-    def __init__(self, me, seed, now, policy, held=None, promised=NO_TERM, began=None):
+    def __init__(self, me, seed, now, policy, held=None, current_term=NO_TERM, began=None):
         member.Member.__init__(self, me, seed, now)
         self.policy = policy
         self.listeners = listeners.Listeners()
         self.began = now if began is None else began
-        self.follower_start(held, promised)
-        self.voter_start(promised)
+        self.follower_start(held, current_term)
+        self.voter_start(current_term)
         self.discovery_start()
 
 
@@ -63,10 +63,10 @@
 
     durable = True
 
-    def __init__(self, me, seed, now, policy, held=None, promised=NO_TERM, began=None):
-        FollowerNode.__init__(self, me, seed, now, policy, held, promised, began)
-        self.lead_clear()
+    def __init__(self, me, seed, now, policy, held=None, current_term=NO_TERM, began=None):
+        FollowerNode.__init__(self, me, seed, now, policy, held, current_term, began)
+        self.clear_leadership()
         self.listeners.log_synced.append(self.own_log_synced)
         self.transfer_start()
         self.leaving_start()
-        self.elect_start()
+        self.election_start()
--- a/basaltport/consensus/open_membership.py
+++ b/basaltport/consensus/open_membership.py
@@ -14,14 +14,14 @@
     """Needs ReplicationMixin and LeadershipMixin."""
 
     def open_membership_start(self):
-        self.ledgers_at = self.now
+        self.disk_members_changed_at_ms = self.now
 
     def take_all_members(self):
         if not self.settled() or self.pending(*CHANGES):
             return
         t = self.tip_book
         if self.pending("ledgers"):
-            if self.now - self.ledgers_at > STUCK:
+            if self.now - self.disk_members_changed_at_ms > STUCK:
                 self.keep_ledgers(t)
             return
         self.take_new(t["roster"]) or self.keep_ledgers(t) or self.drop_lost(t)
@@ -37,7 +37,7 @@
         if not swap and not add:
             return False
         for m in [m for _, m in swap] + add[:1]:
-            self.acks[m["seat"]] = self.now
+            self.acked_at_ms[m["seat"]] = self.now
             self.needs.add(m["seat"])
             self.note(16, member=m["name"], seat=m["seat"])
         self.append({"op": "roster", "swap": swap, "add": add[0] if add else None})
@@ -45,7 +45,7 @@
 
     def heard_of(self, s):
         """A disk member counts as live only once it spoke to this leader."""
-        return s == self.me.seat or self.now - self.acks.get(s, -(10**9)) < DROP
+        return s == self.me.seat or self.now - self.acked_at_ms.get(s, -(10**9)) < DROP
 
     def keep_ledgers(self, t):
         have = set(t["ledgers"])
@@ -56,7 +56,7 @@
             want = live
         if want == have:
             return False
-        self.ledgers_at = self.now
+        self.disk_members_changed_at_ms = self.now
         self.append({"op": "ledgers", "ledgers": sorted(want)})
         return True
 
--- a/basaltport/consensus/read_index.py
+++ b/basaltport/consensus/read_index.py
@@ -49,7 +49,7 @@
         rs, self.reads = self.reads, []
         for r in rs:
             # M2: the heartbeat that a majority answered was sent after the read came.
-            if r["n"] < self.vouched_n:
+            if r["n"] < self.confirmed_heartbeat_number:
                 self.serve_read(r)
                 continue
             self.reads.append(r)
--- a/basaltport/consensus/snapshot_transfer.py
+++ b/basaltport/consensus/snapshot_transfer.py
@@ -11,12 +11,12 @@
     def copy(self) -> state_machine.ReplicatedState:
         return state_machine.ReplicatedState(self.book, tuple(self.tail))
 
-    def hear_fetch(self, src, m):
-        if m.gen != self.promised:
+    def hear_snapshot_request(self, src, m):
+        if m.gen != self.current_term:
             return
-        addr = self.addr_of(m.seat)
+        addr = self.address_of(m.seat)
         if addr:
-            self.send(addr, messages.Copy(m.gen, self.me.seat, self.copy()))
+            self.send(addr, messages.Snapshot(m.gen, self.me.seat, self.copy()))
 
     def install(self, copy):
         """Takes a copy over; what is in force here stays so: of a copy whose book is older only the entries
--- a/basaltport/controller/executor_leases.py
+++ b/basaltport/controller/executor_leases.py
@@ -33,13 +33,13 @@
     leading: bool
     stopped: bool
     leader: typing.Any
-    former_term: identifiers.Term
-    ack_k: int
+    previous_term: identifiers.Term
+    last_ack_number: int
     since: int
-    awake_at: int
-    lease_end: int
-    acks: dict[str, int]
-    echoes: dict[str, tuple[int, int, int]]
+    resumed_at_ms: int
+    lease_expires_at_ms: int
+    acked_at_ms: dict[str, int]
+    latest_acks: dict[str, tuple[int, int, int]]
     """By member: the number of its newest acknowledgement, when it came, and what it had applied by then."""
 
     def send(self, address: str, message: object) -> None:
@@ -76,12 +76,12 @@
     def resign_when_stopping(self) -> None:
         """Whoever leads need not wait for this one's lease."""
         if not self.leading and self.leader is not None:
-            self.send(self.leader.addr, messages.ExecutorResigned(self.me.seat, self.ack_k))
+            self.send(self.leader.addr, messages.ExecutorResigned(self.me.seat, self.last_ack_number))
 
     def resign_again(self, heartbeat: typing.Any) -> None:
         """A leader that was elected since is told as well."""
         if self.stopped and not self.leading:
-            self.send(heartbeat.addr, messages.ExecutorResigned(self.me.seat, self.ack_k))
+            self.send(heartbeat.addr, messages.ExecutorResigned(self.me.seat, self.last_ack_number))
 
     def note_leader_resigned(self, message: typing.Any) -> None:
         """The leader that is followed hands over."""
@@ -96,7 +96,7 @@
 
     def take_all_for_leased(self, votes: object) -> None:
         """Every other member may be leased by who led before, but for one that handed over by itself."""
-        self.lease_end = -1
+        self.lease_expires_at_ms = -1
         rows = self.latest_shards()
         members = {
             *self.tip_book.members,
@@ -105,7 +105,7 @@
         self.lease_ends = {
             member_id: self.now + self.executor_lease_ms()
             for member_id in members
-            if member_id != self.me.seat and self.handed_over != (self.former_term, member_id)
+            if member_id != self.me.seat and self.handed_over != (self.previous_term, member_id)
         }
         self.executor_since = {}
         self.resigned = {}
@@ -121,7 +121,7 @@
 
     def hear_executor_resigned(self, source: str, message: messages.ExecutorResigned) -> None:
         """A member that stops sends no order any more."""
-        echo = self.echoes.get(message.seat) if self.leading else None
+        echo = self.latest_acks.get(message.seat) if self.leading else None
         incarnation = message.k >> follower.LIFE
         if echo is None or echo[0] >> follower.LIFE != incarnation:
             return
@@ -131,15 +131,15 @@
     def has_resigned(self, member_id: str) -> bool:
         """Whether a member said in its present incarnation that it sends no orders any more."""
         incarnation = self.resigned.get(member_id)
-        return incarnation is not None and incarnation == self.echoes[member_id][0] >> follower.LIFE
+        return incarnation is not None and incarnation == self.latest_acks[member_id][0] >> follower.LIFE
 
-    def echo_for(self, member_id: str, row: object) -> int:
+    def ack_to_return(self, member_id: str, row: object) -> int:
         """The acknowledgement that a heartbeat gives back, 0 for none: only to a member that has applied
         the last change of owners, and once this leader's first entry is agreed."""
-        unknown = member_id not in self.echoes or member_id not in self.tip_book.members
+        unknown = member_id not in self.latest_acks or member_id not in self.tip_book.members
         if unknown or not self.settled():
             return 0
-        number, heard_at, applied = self.echoes[member_id]
+        number, heard_at, applied = self.latest_acks[member_id]
         if self.has_resigned(member_id) or applied < self.newest_fence():
             return 0
         self.executor_since.setdefault(member_id, self.now)
@@ -159,11 +159,11 @@
             return False
         if (
             member_id not in self.tip_book.members
-            or member_id in self.echoes
+            or member_id in self.latest_acks
             and self.has_resigned(member_id)
         ):
             return True
-        return self.now - max(self.acks.get(member_id, self.since), self.awake_at) > LOST_MS
+        return self.now - max(self.acked_at_ms.get(member_id, self.since), self.resumed_at_ms) > LOST_MS
 
     def former_owner_released(self, row: ShardRow) -> bool:
         """Whether who owned a shard before knows that it does no more, or is leased no more."""
@@ -173,4 +173,4 @@
         if member_id == self.me.seat:
             released: bool = self.book.log_index >= row.fence
             return released
-        return member_id in self.echoes and self.echoes[member_id][2] >= row.fence
+        return member_id in self.latest_acks and self.latest_acks[member_id][2] >= row.fence
--- a/basaltport/controller/node.py
+++ b/basaltport/controller/node.py
@@ -43,7 +43,7 @@
         seed: int,
         now: identifiers.Millis,
         held: dict[str, typing.Any] | None = None,
-        promised: identifiers.Term = node.NO_TERM,
+        current_term: identifiers.Term = node.NO_TERM,
         placement: placement_control.Placement | None = None,
         lease_ms: int = REPLICA_LEASE_MS,
         began: identifiers.Millis | None = None,
@@ -52,7 +52,9 @@
         `placement`: as `placement.machine.Placement`, which is made where none is given; `lease_ms`: for
         how long a replica is left alone between the orders of two owners; `began`: when the process began,
         after the end of its machine's last one."""
-        node.ConsensusNode.__init__(self, me, seed, now, voting_policy.DISK_MEMBERS, held, promised, began)
+        node.ConsensusNode.__init__(
+            self, me, seed, now, voting_policy.DISK_MEMBERS, held, current_term, began
+        )
         self.placement_start(machine.Placement(self.rng) if placement is None else placement)
         self.placement.may_order = self.may_order
         self.replica_lease_ms = lease_ms
@@ -70,7 +72,7 @@
         super().step(event)
         self.note_shards()
         self.update_placement()
-        if self.leading and self.beat_at < 0:
+        if self.leading and self.heartbeat_sent_at_ms < 0:
             self.beat()
         self.publish()
         return self.out
--- a/basaltport/controller/operator_requests.py
+++ b/basaltport/controller/operator_requests.py
@@ -100,7 +100,7 @@
     leading: bool
     leader: typing.Any
     heard_at: int
-    beat_at: int
+    heartbeat_sent_at_ms: int
     n: int
     """The number of the last heartbeat."""
     listeners: typing.Any
@@ -264,7 +264,7 @@
         agreed. A read has no answer yet: it is made of the state that is agreed then."""
         row = {"n": self.n, "src": source, "call": call, "verb": verb, "body": body, "asked": received_at}
         self.reads.append({**row, "got": answer, "serial": self.tip_book.log_index if answer else 0})
-        self.beat_at = AT_ONCE
+        self.heartbeat_sent_at_ms = AT_ONCE
 
     def serve_read(self, row: Document) -> None:
         """A majority confirmed that this controller leads: give the answer, if what it rests on is agreed."""
--- a/basaltport/controller/order_execution.py
+++ b/basaltport/controller/order_execution.py
@@ -35,7 +35,7 @@
 class OrderExecutionNeeds(typing.Protocol):
     """What `OrderExecutionMixin` needs of the controller besides."""
 
-    promised: identifiers.Term
+    current_term: identifiers.Term
     sent_at: dict[int, int]
     """When this member sent its last acknowledgements, by number."""
     placement: typing.Any
@@ -43,7 +43,7 @@
     def emit(self, effect: object) -> None:
         """Add an effect."""
 
-    def addr_of(self, member_id: str) -> str | None:
+    def address_of(self, member_id: str) -> str | None:
         """Where a member was last heard of."""
 
     def call_placement(self, call: typing.Any, *arguments: object) -> None:
@@ -79,7 +79,7 @@
     def hear_order_request(self, source: str, request: messages.OrderRequest) -> None:
         """Carry out a leader's order, unless it is late or this controller may not order there."""
         fresh = self.now - self.sent_at.get(request.echo, NEVER) <= REQUEST_FRESH_MS
-        if request.gen < self.promised or not fresh or not self.owns(request.replica, request.fence):
+        if request.gen < self.current_term or not fresh or not self.owns(request.replica, request.fence):
             failed = order_types.OrderOutcome.FAILED
             self.send(request.address, messages.OrderResult(request.gen, request.order, failed, NO_TIME))
             return
@@ -132,10 +132,10 @@
             return False
         if owner == self.me.seat:
             return self.holds() and not self.stopped
-        silent = self.now - self.acks.get(owner, NEVER) > ACK_FRESH_MS
+        silent = self.now - self.acked_at_ms.get(owner, NEVER) > ACK_FRESH_MS
         if silent or owner in self.gone or not self.may_be_leased(owner):
             return False
-        return owner in self.echoes and self.echoes[owner][2] >= row.fence
+        return owner in self.latest_acks and self.latest_acks[owner][2] >= row.fence
 
     def route_order(self, order: effects.Order) -> None:
         """Have an order of Placement's carried out by the owner of its shard."""
@@ -147,12 +147,12 @@
         self.routed[order.order] = self.now
         if owner == self.me.seat:
             own = order._replace(holder=self.me.name, fence=fence, expected=None)
-            self.carry_out(self.me.addr, self.promised, own)
+            self.carry_out(self.me.addr, self.current_term, own)
             return
         request = messages.OrderRequest(
-            self.promised,
+            self.current_term,
             order.order,
-            self.echoes[owner][0],
+            self.latest_acks[owner][0],
             self.me.addr,
             order.replica,
             order.address,
@@ -161,11 +161,11 @@
             order.adapter or "",
             fence,
         )
-        self.send(self.addr_of(owner) or self.tip_book.members[owner].address, request)
+        self.send(self.address_of(owner) or self.tip_book.members[owner].address, request)
 
     def hear_order_result(self, source: str, result: messages.OrderResult) -> None:
         """What came of an order. That its owner was fenced says nothing of who leads."""
-        if not self.leading or result.gen != self.promised or result.order not in self.routed:
+        if not self.leading or result.gen != self.current_term or result.order not in self.routed:
             return
         del self.routed[result.order]
         fenced = result.outcome == order_types.OrderOutcome.FENCED
--- a/basaltport/controller/shard_ownership.py
+++ b/basaltport/controller/shard_ownership.py
@@ -146,7 +146,9 @@
 
     def may_own(self, member_id: str) -> bool:
         """Whether a live member may be given shards: it neither leaves nor has resigned."""
-        return member_id not in self.gone and not (member_id in self.echoes and self.has_resigned(member_id))
+        return member_id not in self.gone and not (
+            member_id in self.latest_acks and self.has_resigned(member_id)
+        )
 
     def needs_owner(self, row: ShardRow | None) -> bool:
         """Whether a shard may be given to somebody now."""
--- a/basaltport/controller/status_view.py
+++ b/basaltport/controller/status_view.py
@@ -43,7 +43,7 @@
     """For how long a controller was not heard of, in ms; None if it never was."""
     if row["name"] == node.me.name:
         return 0
-    heard_at = node.acks.get(row["seat"]) if node.leading else None
+    heard_at = node.acked_at_ms.get(row["seat"]) if node.leading else None
     if heard_at is None and row["name"] in node.members:
         heard_at = node.members[row["name"]]["at"]
     return None if heard_at is None else max(0, now - heard_at)
@@ -106,7 +106,7 @@
     out = []
     if not node.leading and leader(node) is None:
         out.append("no leader is heard")
-    if not node.leading and node.camp:
+    if not node.leading and node.candidacy:
         out.append("asks for promises; missing: " + (", ".join(node.missing()) or "none"))
     if node.bad:
         out.append("the disk failed")
@@ -162,7 +162,7 @@
     """The page `status`. `keepers` is the former name of `controllers`."""
     known = leader(node)
     follows = not node.leading and node.leader is not None
-    term = node.leader.gen if follows else node.promised
+    term = node.leader.gen if follows else node.current_term
     page = {"role": "controller", "name": node.me.name, "zone": node.me.zone, "leads": node.leading}
     page |= {"leader": known["name"] if known else None, "leader_address": known["http"] if known else None}
     page |= {"generation": term.text(), "serial": int(node.book.log_index), "holds": node.holds_at(now)}
--- a/basaltport/fleet/publish.py
+++ b/basaltport/fleet/publish.py
@@ -128,10 +128,10 @@
     me: member.Me
     now: identifiers.Millis
     book: state_machine.ClusterState
-    retained: dict[int, log.LogEntry]
+    retained_entries: dict[int, log.LogEntry]
     leading: bool
     leader: typing.Any
-    promised: identifiers.Term
+    current_term: identifiers.Term
     placement: Placed
     listeners: listeners.Listeners
 
@@ -185,7 +185,7 @@
 
     def redirect_proxies(self) -> None:
         """This controller leads no more: proxies look for the next leader at once."""
-        redirect = messages.Redirect(self.promised, NOBODY, "", self.controllers())
+        redirect = messages.Redirect(self.current_term, NOBODY, "", self.controllers())
         for proxy in self.proxies.values():
             self.send(proxy.address, redirect)
         self.publish_clear()
@@ -198,7 +198,7 @@
         """A proxy tells what it has; one that asks a controller that does not lead is redirected."""
         if not self.leading:
             leader = self.leader if self.hears_leader() else None
-            term, name, address = self.promised, NOBODY, ""
+            term, name, address = self.current_term, NOBODY, ""
             if leader:
                 term, name, address = leader.gen, leader.name, leader.addr
             self.send(follow.address, messages.Redirect(term, name, address, self.controllers()))
@@ -215,7 +215,7 @@
     def note_position(self, proxy: Proxy, follow: messages.Follow) -> None:
         """A proxy that has nothing of this leader, new or started anew, is sent all; one that stays behind
         what it was sent lost something, however much else went out to it meanwhile."""
-        if follow.gen != self.promised:
+        if follow.gen != self.current_term:
             if self.now - proxy.reset_at >= RESEND_MS and self.now >= proxy.arrives_at:
                 proxy.log_index, proxy.rows_seen = follow.serial, NOTHING_SEEN
                 proxy.controllers_sent, proxy.reset_at = None, self.now
@@ -270,7 +270,7 @@
         controllers = self.controllers()
         tells_leader = proxy.controllers_sent != controllers
         update = messages.Update(
-            self.promised,
+            self.current_term,
             self.me.name if tells_leader else NOBODY,
             self.me.addr if tells_leader else "",
             controllers if tells_leader else [],
@@ -293,8 +293,8 @@
     def state_after(self, index: int) -> StatePart:
         """Entries after an index, or a copy of what proxies need where those are not here or are more."""
         newest = self.book.log_index
-        here = newest - index <= len(self.retained)
-        entries = [self.retained.get(i) for i in range(index + 1, newest + 1)] if here else [None]
+        here = newest - index <= len(self.retained_entries)
+        entries = [self.retained_entries.get(i) for i in range(index + 1, newest + 1)] if here else [None]
         found = [entry for entry in entries if entry]
         if index and len(found) == len(entries):
             entries_size = sum(sizes.entry_size(entry) for entry in found)
--- a/basaltport/member.py
+++ b/basaltport/member.py
@@ -65,13 +65,13 @@
     out: list[object]
     after: dict[int, tuple[object, list[object], bool]]
     stalled: dict[int, tuple[identifiers.Millis, int, int]]
-    promised: identifiers.Term
+    current_term: identifiers.Term
     synced_promise: list[identifiers.Term]
 
     def head(self) -> object:
         """How far its log goes."""
 
-    def durable_head(self, head: object, promise: identifiers.Term) -> None:
+    def mark_synced(self, head: object, promise: identifiers.Term) -> None:
         """Records up to a head, and a promise, are on the disk."""
 
     def disk_failed(self) -> None:
@@ -149,7 +149,7 @@
             self.ticks,
             sum(map(sizes.record_size, records)) + sizes.copy_size(whole),
         )
-        self.synced_promise.append(self.promised)
+        self.synced_promise.append(self.current_term)
         self.emit(events.Write(self.token, records, whole))
 
     def on_synced(self: Durable, ev: events.Synced) -> None:
@@ -164,5 +164,5 @@
         if self.bad and not whole:
             return
         self.bad = False
-        self.durable_head(head, promise)
+        self.mark_synced(head, promise)
         self.out.extend(then)
--- a/basaltport/messages.py
+++ b/basaltport/messages.py
@@ -57,7 +57,7 @@
 
 
 @message(2)
-class Campaign:
+class VoteRequest:
     """A candidate asks for the promise of a seat."""
 
     gen: identifiers.Term
@@ -67,21 +67,21 @@
 
 
 @message(3)
-class Promise:
+class Vote:
     """The answer to a `Campaign`, with the generation and serial that the seat holds."""
 
     gen: identifiers.Term
     seat: identifiers.MemberId
     name: identifiers.Name
     ok: bool
-    promised: identifiers.Term
+    current_term: identifiers.Term
     hgen: identifiers.Term
     serial: identifiers.LogIndex
     me: Document
 
 
 @message(4)
-class Fetch:
+class SnapshotRequest:
     """A new leader asks a seat for a copy of what it holds."""
 
     gen: identifiers.Term
@@ -89,7 +89,7 @@
 
 
 @message(5)
-class Copy:
+class Snapshot:
     """All that a seat holds."""
 
     gen: identifiers.Term
@@ -98,7 +98,7 @@
 
 
 @message(6)
-class Beat:
+class Heartbeat:
     """The leader's heartbeat, with entries or a copy for one that lacks them."""
 
     gen: identifiers.Term
@@ -117,7 +117,7 @@
 
 
 @message(7)
-class Ack:
+class HeartbeatAck:
     """The answer to a `Beat`."""
 
     gen: identifiers.Term
@@ -125,7 +125,7 @@
     n: int
     k: int
     ok: bool
-    promised: identifiers.Term
+    current_term: identifiers.Term
     hgen: identifiers.Term
     serial: identifiers.LogIndex
     applied: identifiers.LogIndex
@@ -152,7 +152,7 @@
 
 
 @message(21)
-class Yield:
+class LeadershipTransfer:
     """The leader stops and names the ledger that may ask for promises at once."""
 
     gen: identifiers.Term
@@ -167,7 +167,7 @@
 
 
 @message(28)
-class Canvass:
+class PreVoteRequest:
     """Asks, before any promise is asked for, whether a seat hears a leader."""
 
     name: identifiers.Name
@@ -175,7 +175,7 @@
 
 
 @message(29)
-class Canvassed:
+class PreVote:
     """`ok`: this seat hears no leader."""
 
     seat: identifiers.MemberId
--- a/basaltport/model/checks.py
+++ b/basaltport/model/checks.py
@@ -107,7 +107,7 @@
     # leaders
 
     def _leads(self, node: nodes.Node) -> None:
-        term, incarnation = node.member.promised, (node.name, node.incarnation)
+        term, incarnation = node.member.current_term, (node.name, node.incarnation)
         if self.terms.setdefault(term, incarnation) != incarnation:
             self._broken(Rule.TERM, term=term, first=self.terms[term], second=incarnation)
         if (term, incarnation) not in self.began:
@@ -138,13 +138,13 @@
 
     # a majority's word
 
-    def beat_sent(self, node: nodes.Node, beat: messages.Beat) -> None:
+    def beat_sent(self, node: nodes.Node, beat: messages.Heartbeat) -> None:
         """A leader sent a heartbeat."""
         self.beats.setdefault((node.name, node.incarnation, beat.gen, beat.n), self.world.now)
 
-    def ack_heard(self, node: nodes.Node, ack: messages.Ack) -> None:
+    def ack_heard(self, node: nodes.Node, ack: messages.HeartbeatAck) -> None:
         """A leader is about to hear an acknowledgement."""
-        if not ack.ok or ack.gen != node.member.promised:
+        if not ack.ok or ack.gen != node.member.current_term:
             return
         at = self.beats.get((node.name, node.incarnation, ack.gen, ack.n))
         if at is not None:
@@ -154,7 +154,7 @@
     def _majority_since(self, node: nodes.Node, since: int) -> bool:
         """Whether those that answered a heartbeat sent since then leave no other leader to be elected."""
         m = node.member
-        words = self.words.get((node.name, node.incarnation, m.promised), {})
+        words = self.words.get((node.name, node.incarnation, m.current_term), {})
         have = {s for s, at in words.items() if at >= since} | {m.me.seat}
         return electorate.bears(have, electorate.rosters(m.book, m.tail))
 
@@ -171,7 +171,7 @@
         """A leader sends an update to a proxy."""
         m = node.member
         self.counts["updates"] += 1
-        began = self.began.get((m.promised, (node.name, node.incarnation)), self.world.now)
+        began = self.began.get((m.current_term, (node.name, node.incarnation)), self.world.now)
         if not self._majority_since(node, max(began, self.world.now - WORD_MS)):
             self._broken(Rule.WORD, node=node.name, feeds=True)
         if m.book["serial"] < self.top:
--- a/basaltport/model/durable.py
+++ b/basaltport/model/durable.py
@@ -18,12 +18,12 @@
 class Held:
     """Of one disk: the highest vote and the entries that are synced."""
 
-    promised: identifiers.Term = identifiers.Term()
+    current_term: identifiers.Term = identifiers.Term()
     entries: set[Entry] = dataclasses.field(default_factory=set)
 
-    def add(self, promised: list[identifiers.Term], entries: list[Entry]) -> None:
+    def add(self, current_term: list[identifiers.Term], entries: list[Entry]) -> None:
         """These are synced now."""
-        self.promised = max([self.promised, *promised])
+        self.current_term = max([self.current_term, *current_term])
         self.entries.update(entries)
 
 
@@ -40,18 +40,18 @@
         m = node.member
         entries = [_key(e) for e in m.tail]
         held = self.held[node.name] = Held()
-        held.add([m.promised], [*entries, (m.book.log_index, tuple(m.book.term))])
+        held.add([m.current_term], [*entries, (m.book.log_index, tuple(m.book.term))])
 
     def asked(self, node: nodes.Node, token: int, records: list[log.DiskRecord], whole: bool) -> None:
         """A write was handed to the disk; with `whole`, of all that the member has."""
         m = node.member
-        promised = [record.term for record in records if isinstance(record, log.TermRecord)]
+        current_term = [record.term for record in records if isinstance(record, log.TermRecord)]
         entries = [_key(record.entry) for record in records if isinstance(record, log.EntryRecord)]
         if whole:
-            promised.append(m.promised)
+            current_term.append(m.current_term)
             entries += [_key(e) for e in m.tail]
             entries.append((m.book.log_index, tuple(m.book.term)))
-        self.writes[node.name, node.incarnation, token] = promised, entries
+        self.writes[node.name, node.incarnation, token] = current_term, entries
 
     def synced(self, node: nodes.Node, token: int, ok: bool) -> None:
         """The disk says that a write is safe, or that it failed."""
@@ -62,8 +62,8 @@
     def bears_out(self, node: nodes.Node, msg: object) -> bool:
         """Whether what a vote or an acknowledgement says is on the disk."""
         held = self.held[node.name]
-        if isinstance(msg, messages.Promise):
-            return not msg.ok or held.promised >= msg.gen
-        if isinstance(msg, messages.Ack) and msg.ok:
+        if isinstance(msg, messages.Vote):
+            return not msg.ok or held.current_term >= msg.gen
+        if isinstance(msg, messages.HeartbeatAck) and msg.ok:
             return not msg.serial or (msg.serial, tuple(msg.hgen)) in held.entries
         return True
--- a/basaltport/model/exhaustive.py
+++ b/basaltport/model/exhaustive.py
@@ -184,11 +184,11 @@
     def _member(self, node: nodes.Node, number: dict[str, int]) -> State:
         m, now = node.member, self.world.now
         heard = -1 if m.leader is None else min(AGE_STEPS, (now - m.heard_at) // STEP_MS)
-        vouched = min(AGE_STEPS, (now - m.vouched) // STEP_MS) if m.leading else -1
+        lease_started_at_ms = min(AGE_STEPS, (now - m.lease_started_at_ms) // STEP_MS) if m.leading else -1
         log = [(e.index, e.term.count, e.operation.kind) for e in m.tail]
         seats = sorted(number.get(self._node_of_seat(s), -1) for s in quorum.voters(m.book))
-        state = (node.frozen, m.leading, heard, vouched, m.bad, bool(m.camp), m.stopped)
-        return state, m.book.log_index, m.book.term.count, seats, log, m.promised.count
+        state = (node.frozen, m.leading, heard, lease_started_at_ms, m.bad, bool(m.candidacy), m.stopped)
+        return state, m.book.log_index, m.book.term.count, seats, log, m.current_term.count
 
     def _node_of_seat(self, seat: str) -> str:
         return next((n.name for n in self.world.nodes.values() if n.seat == seat), "")
--- a/basaltport/model/world.py
+++ b/basaltport/model/world.py
@@ -122,7 +122,7 @@
         """What is sent is seen by the checks first."""
         msg = effect.msg
         self.checks.says(node, msg)
-        if isinstance(msg, messages.Beat):
+        if isinstance(msg, messages.Heartbeat):
             self.checks.beat_sent(node, msg)
         elif isinstance(msg, fleet_messages.Update):
             self.checks.feeds(node)
@@ -134,7 +134,7 @@
         """Acknowledgements are seen by the checks first."""
         if node.member is None:
             return
-        if isinstance(event, events.Heard) and isinstance(event.msg, messages.Ack):
+        if isinstance(event, events.Heard) and isinstance(event.msg, messages.HeartbeatAck):
             self.checks.ack_heard(node, event.msg)
         if isinstance(event, events.Synced):
             self.checks.durable.synced(node, event.token, event.ok)
--- a/basaltport/query_api/admin/http_server.py
+++ b/basaltport/query_api/admin/http_server.py
@@ -156,7 +156,7 @@
             "leader": leader,
         }
         if self.node.role == LOG_NODE:
-            status["missing"] = member.missing() if member.camp else []
+            status["missing"] = member.missing() if member.candidacy else []
         if self.node.role == QUERY_NODE:
             status["leased"] = member.leased()
             status["counts"] = dict(member.outcome_counts)
--- a/basaltport/query_api/admin/leader_requests.py
+++ b/basaltport/query_api/admin/leader_requests.py
@@ -42,9 +42,9 @@
     tip_book: state_machine.ClusterState
     waiting: list[Document]
     reads: list[Document]
-    beat_at: int
+    heartbeat_sent_at_ms: int
     n: int
-    echoes: dict[str, typing.Any]
+    latest_acks: dict[str, typing.Any]
 
     def settle(self) -> None:
         """Acknowledge changes that all leased nodes applied, and answer confirmed reads."""
@@ -75,7 +75,7 @@
             return
         if verb in operator_requests.READS:
             self.reads.append({"n": self.n, "src": src, "call": call, "verb": verb, "body": body})
-            self.beat_at = -(10**9)
+            self.heartbeat_sent_at_ms = -(10**9)
             return
         self.propose(src, call, verb, body)
 
@@ -244,7 +244,7 @@
         rows = []
         by_name = sorted(self.book.members.items(), key=lambda item: item[1].name)
         for member_id, row in by_name:
-            heartbeat = self.echoes.get(member_id)
+            heartbeat = self.latest_acks.get(member_id)
             rows.append(
                 {
                     **codec.encode_member(row),
--- a/basaltport/query_api/anti_entropy/key_holder.py
+++ b/basaltport/query_api/anti_entropy/key_holder.py
@@ -51,7 +51,7 @@
     book: state_machine.ClusterState
     rules: rules.Rules
 
-    def addr_of(self, seat: str) -> str | None:
+    def address_of(self, seat: str) -> str | None:
         """The address of a member, if it is known."""
 
     def send(self, addr: str, msg: object) -> None:
@@ -154,7 +154,7 @@
         digest = self.range_digest(range_number)
         since = identifiers.LogIndex(copying.since)
         for member_id in sorted(set(copying.former) - copying.copied):
-            address = self.addr_of(member_id)
+            address = self.address_of(member_id)
             if address:
                 former_since = identifiers.LogIndex(copying.former[member_id])
                 self.send(
@@ -178,7 +178,7 @@
 
     def hear_key_range_request(self, source: str, message: messages.KeyRangeRequest) -> None:
         """Answer only where this copy was complete under the index asked for, and takes no older claim."""
-        address = self.addr_of(message.member_id)
+        address = self.address_of(message.member_id)
         range_name = str(message.range)
         if address is None or self.book.log_index < message.since:
             return
@@ -208,7 +208,7 @@
 
     def hear_key_claim(self, source: str, message: messages.KeyClaim) -> None:
         """Answer a claim; blank while the range is not complete here."""
-        address = self.addr_of(message.owner_id)
+        address = self.address_of(message.owner_id)
         holders = self.key_holders(message.key_id)
         own = holders.holders.get(self.me.seat)
         if address is None or own is None or holders.since != message.holders_since:
--- a/basaltport/query_api/cell/cell.py
+++ b/basaltport/query_api/cell/cell.py
@@ -58,7 +58,7 @@
     leaving_hints: collections.abc.Container[str]
     evacuation_hints: collections.abc.Container[str]
 
-    def addr_of(self, seat: str) -> str | None:
+    def address_of(self, seat: str) -> str | None:
         """The address of a member, if it is known."""
 
     def send(self, addr: str, msg: object) -> None:
@@ -98,7 +98,7 @@
         complete = cell.complete or not differing.any()
         version = max(message.version, cell.version) if cell.fence == message.fence else message.version
         self.cells[message.zone] = Cell(message.fence, version, rows, complete)
-        address = self.addr_of(message.member_id)
+        address = self.address_of(message.member_id)
         if differing.any() and address:
             ranges = range_digests.pack(differing)
             self.send(address, messages.CellRequest(message.zone, message.fence, self.me.seat, ranges))
@@ -111,7 +111,7 @@
         self.cells_requested_at = self.now
         all_ranges = range_digests.pack(range_digests.all_of())
         for zone, owner in self.zone_owners():
-            address = self.addr_of(owner.owner)
+            address = self.address_of(owner.owner)
             if not self.cell_of(zone).complete and address:
                 fence = identifiers.Fence(owner.fence)
                 self.send(address, messages.CellRequest(zone, fence, self.me.seat, all_ranges))
--- a/basaltport/query_api/failure_detection/ring.py
+++ b/basaltport/query_api/failure_detection/ring.py
@@ -34,7 +34,7 @@
     book: state_machine.ClusterState
     leader: typing.Any
 
-    def addr_of(self, seat: str) -> str | None:
+    def address_of(self, seat: str) -> str | None:
         """The address of a member, if it is known."""
 
     def send(self, addr: str, msg: object) -> None:
@@ -69,7 +69,7 @@
         self.ring_sequence += 1
         members = self.book.members
         for watcher in watchers(self.me.seat, members):
-            address = self.addr_of(watcher)
+            address = self.address_of(watcher)
             if address:
                 self.send(address, messages.RingHeartbeat(self.me.seat, self.ring_sequence))
         for member_id in members:
--- a/basaltport/query_api/log_node.py
+++ b/basaltport/query_api/log_node.py
@@ -35,10 +35,10 @@
         seed: int,
         now: identifiers.Millis,
         held: dict[str, typing.Any] | None = None,
-        promised: identifiers.Term = node.NO_TERM,
+        current_term: identifiers.Term = node.NO_TERM,
     ) -> None:
         """`held` and `promised`: what the disk gave back, if anything; `seed` is that of all chance."""
-        node.ConsensusNode.__init__(self, me, seed, now, voting_policy.ALL_MEMBERS, held, promised)
+        node.ConsensusNode.__init__(self, me, seed, now, voting_policy.ALL_MEMBERS, held, current_term)
         self.cell_start()
         self.ring_start()
         self.desk_start()
--- a/basaltport/query_api/query_node.py
+++ b/basaltport/query_api/query_node.py
@@ -136,7 +136,7 @@
     def on_stop(self, event: common_events.Stop) -> None:
         """Nothing is left to do here: no lease from now on, so the leader may hand on the roles."""
         self.stopped = True
-        self.lease_end = LONG_AGO
+        self.lease_expires_at_ms = LONG_AGO
         if self.leader:
             self.send(self.leader.addr, common_messages.Leave(self.me.seat))
 
--- a/basaltport/query_api/query_proxy/admission.py
+++ b/basaltport/query_api/query_proxy/admission.py
@@ -22,7 +22,7 @@
 
     def on_request_arrived(self, event: events.RequestArrived) -> None:
         """A client's request is here."""
-        if not self.leased() and self.now - self.lease_end > LEASE_GAP_WAITED_MS:
+        if not self.leased() and self.now - self.lease_expires_at_ms > LEASE_GAP_WAITED_MS:
             ran = "unknown" if event.idempotency_key else "no"
             detail = "no leader is heard; this query was not run"
             status = http.HTTPStatus.SERVICE_UNAVAILABLE
--- a/basaltport/query_api/query_proxy/final_answers.py
+++ b/basaltport/query_api/query_proxy/final_answers.py
@@ -82,7 +82,7 @@
 
     def lease_retry_after(self) -> int:
         """What an election and the expiry of old leases may still take."""
-        return max(MIN_RETRY_AFTER_MS, ELECTION_MS - (self.now - self.lease_end))
+        return max(MIN_RETRY_AFTER_MS, ELECTION_MS - (self.now - self.lease_expires_at_ms))
 
     def estimate_retry_after(self, failed: request.Request) -> int:
         """When asking again is likely to help, in milliseconds: once there is a lease, the load has ended,
--- a/basaltport/query_api/query_proxy/interface.py
+++ b/basaltport/query_api/query_proxy/interface.py
@@ -24,7 +24,7 @@
     """See `query_node.QueryNode` for attributes of the whole node, and the mixins for their own."""
 
     rng: random.Random
-    lease_end: int
+    lease_expires_at_ms: int
     requests: dict[str, request.Request]
     attempts: dict[str, request.Attempt]
     queues: queues.Queues
--- a/basaltport/query_api/query_proxy/key_claims.py
+++ b/basaltport/query_api/query_proxy/key_claims.py
@@ -50,7 +50,7 @@
             claim.attempt += 1
         claim.next_at = self.now + (FOLLOW_INTERVAL_MS if claim.following else RETRY_INTERVAL_MS)
         for member_id in sorted(holders.holders):
-            address = self.addr_of(member_id)
+            address = self.address_of(member_id)
             if address and not claim.is_granted_by(member_id):
                 message = messages.KeyClaim(
                     claim.key_id,
@@ -167,7 +167,7 @@
     def tell_holders(self, outcome: messages.KeyOutcome) -> None:
         """Tell a key's holders what came of a claim."""
         for member_id in sorted(self.key_holders(outcome.key_id).holders):
-            address = self.addr_of(member_id)
+            address = self.address_of(member_id)
             if address:
                 self.send(address, outcome)
 
--- a/basaltport/query_api/query_proxy/model_readiness.py
+++ b/basaltport/query_api/query_proxy/model_readiness.py
@@ -169,7 +169,7 @@
         while len(self.status_requests) > REMEMBERED_REQUESTS:
             self.status_requests.pop(next(iter(self.status_requests)))
         owner = self.book.role_owners.get(role_owners.zone_role(zone))
-        address = self.addr_of(owner.owner) if owner else None
+        address = self.address_of(owner.owner) if owner else None
         if address:
             self.send(address, messages.ModelStatusRequest(number, self.me.seat, item, zone, wake, pool))
         return number
@@ -283,7 +283,7 @@
 
     def expire_unleased(self) -> None:
         """A short loss of the lease is waited out in the queue; a longer one ends requests at once."""
-        is_long = self.now - self.lease_end > admission.LEASE_GAP_WAITED_MS
+        is_long = self.now - self.lease_expires_at_ms > admission.LEASE_GAP_WAITED_MS
         for waiting in list(self.queues):
             if is_long:
                 status = http.HTTPStatus.SERVICE_UNAVAILABLE
--- a/basaltport/query_api/query_proxy/slots.py
+++ b/basaltport/query_api/query_proxy/slots.py
@@ -45,7 +45,7 @@
     def request_slots(self, zone: identifiers.Zone) -> None:
         """Tell a zone's controller what is used and wanted of each of its replicas."""
         owner = self.book.role_owners.get(role_owners.zone_role(zone))
-        address = self.addr_of(owner.owner) if owner else None
+        address = self.address_of(owner.owner) if owner else None
         if owner is None or not address:
             return
         self.slots_requested_at[zone] = self.now
--- a/basaltport/query_api/zone_controller/cell_updates.py
+++ b/basaltport/query_api/zone_controller/cell_updates.py
@@ -56,7 +56,7 @@
     def hear_cell_request(self, source: str, message: messages.CellRequest) -> None:
         """Send whole ranges to a member whose copy differs."""
         zone = self.owned_zones.get(message.zone)
-        address = self.addr_of(message.member_id)
+        address = self.address_of(message.member_id)
         if zone is None or zone.fence != message.fence or address is None:
             return
         if self.is_unheard(zone, QUIET_AFTER_TAKEOVER_MS):
--- a/basaltport/query_api/zone_controller/interface.py
+++ b/basaltport/query_api/zone_controller/interface.py
@@ -27,7 +27,7 @@
     def leased(self) -> bool:
         """Whether this node holds a lease."""
 
-    def addr_of(self, seat: str) -> str | None:
+    def address_of(self, seat: str) -> str | None:
         """The address of a member, if it is known."""
 
     def addrs(self) -> list[str]:
--- a/basaltport/query_api/zone_controller/load_permits.py
+++ b/basaltport/query_api/zone_controller/load_permits.py
@@ -53,7 +53,7 @@
             return
         if self.is_unheard(zone, 2 * REQUEST_INTERVAL_MS):
             return
-        address = self.addr_of(owner.owner)
+        address = self.address_of(owner.owner)
         if address is None:
             return
         zone.waiting_loads = {
@@ -115,7 +115,7 @@
     def hear_load_permit_request(self, source: str, message: messages.LoadPermitRequest) -> None:
         """Grant permits within what all zones together may load."""
         owner = self.book.role_owners.get(role_owners.STORE_ROLE)
-        address = self.addr_of(message.member_id)
+        address = self.address_of(message.member_id)
         if owner is None or owner.owner != self.me.seat or address is None or not self.leased():
             return
         self.tick_store()
--- a/basaltport/query_api/zone_controller/model_status.py
+++ b/basaltport/query_api/zone_controller/model_status.py
@@ -39,7 +39,7 @@
 
     def hear_model_status_request(self, source: str, message: messages.ModelStatusRequest) -> None:
         """Tell how an item stands, after its load was ordered where the request says so."""
-        address = self.addr_of(message.member_id)
+        address = self.address_of(message.member_id)
         zone = self.owned_zones.get(message.zone)
         if address is None or zone is None or not self.leased():
             return
--- a/basaltport/query_api/zone_controller/slot_grants.py
+++ b/basaltport/query_api/zone_controller/slot_grants.py
@@ -31,7 +31,7 @@
     def hear_slot_request(self, source: str, message: messages.SlotRequest) -> None:
         """Grant a node what it uses and its share of what it wants besides."""
         zone = self.owned_zones.get(message.zone)
-        address = self.addr_of(message.member_id)
+        address = self.address_of(message.member_id)
         if zone is None or address is None or zone.fence != message.fence or not self.leased():
             return
         shares = zone.slots
--- a/basaltport/scale/part.py
+++ b/basaltport/scale/part.py
@@ -111,7 +111,7 @@
     def step(self, event: Event) -> None:
         """One step, and whether it leads after it."""
         controller_server.ControllerServer.step(self, event)
-        term = self.member.promised.count
+        term = self.member.current_term.count
         if term not in self.held and self.leads():
             self.held[term] = int(identifiers.steady())
 
@@ -135,7 +135,7 @@
     def about(self) -> Answer:
         """Of its lead, beside the reading of the process."""
         controller, leads = self.shell.member, self.shell.leads()
-        about = {"leads": leads, "held": self.shell.held, "term": controller.promised.count}
+        about = {"leads": leads, "held": self.shell.held, "term": controller.current_term.count}
         if leads:
             about |= {"rows": len(controller.placement.rows), "proxies": len(controller.proxies)}
             about |= {"serial": controller.book["serial"]}
--- a/basaltport/shell.py
+++ b/basaltport/shell.py
@@ -47,7 +47,7 @@
     def do_write(self, e):
         whole = None
         if e.whole is not None:
-            whole = snapshot_store.encode(snapshot_store.Snapshot(e.whole, self.member.promised))
+            whole = snapshot_store.encode(snapshot_store.Snapshot(e.whole, self.member.current_term))
         self.writes.append((e.token, [record_framing.encode(r) for r in e.records], whole))
         if not self.writing:
             self.write_next()
--- a/basaltport/simulation/processes.py
+++ b/basaltport/simulation/processes.py
@@ -90,7 +90,7 @@
         """Hands records, or a whole snapshot, to the disk."""
         snapshot = None
         if effect.whole is not None:
-            snapshot = snapshot_store.Snapshot(effect.whole, node.member.promised)
+            snapshot = snapshot_store.Snapshot(effect.whole, node.member.current_term)
         node.disk.write(effect.token, effect.records, snapshot)
         self.sync_next(node)
 
--- a/basaltport/simulation/query_api/world/world.py
+++ b/basaltport/simulation/query_api/world/world.py
@@ -97,14 +97,14 @@
         n = self.nodes[name]
         p = self.preset
         seat = f"{name}-{self.rng.getrandbits(32):08x}"
-        held, promised = None, identifiers.Term()
+        held, current_term = None, identifiers.Term()
         if n.disk is not None:
             got = n.disk.load()
             if got.is_err():
                 n.reason = got.err_value
                 self.log("disk-refused", node=name, why=n.reason)
                 return
-            held, promised = got.ok_value
+            held, current_term = got.ok_value
             seat = n.seat or seat
             n.seat = seat
         exp = p["ledgers"] + p["rostrums"]
@@ -113,7 +113,7 @@
         )
         seed = self.rng.getrandbits(64)
         if n.role == "ledger":
-            n.member = log_node.LogNode(me, seed, self.now, held, promised)
+            n.member = log_node.LogNode(me, seed, self.now, held, current_term)
         else:
             n.member = query_node.QueryNode(me, seed, self.now)
         n.incarnation += 1
--- a/basaltport/simulation/routes/nodes.py
+++ b/basaltport/simulation/routes/nodes.py
@@ -236,7 +236,9 @@
     def leader(self) -> str | None:
         """The name of the one that holds the leader's lease, or None."""
         holders = [
-            (node.member.promised, node.name) for node in self.up() if node.member.holds_at(self.clock(node))
+            (node.member.current_term, node.name)
+            for node in self.up()
+            if node.member.holds_at(self.clock(node))
         ]
         return max(holders)[1] if holders else None
 
--- a/basaltport/simulation/routes/touch.py
+++ b/basaltport/simulation/routes/touch.py
@@ -90,9 +90,9 @@
         if not leader or not leader.rows_known:
             self.published = []
             return
-        if self.published and self.published[-1].term != leader.promised:
+        if self.published and self.published[-1].term != leader.current_term:
             self.published = []
-        self.published.append(Published(self.now, leader.promised, leader.feed_n))
+        self.published.append(Published(self.now, leader.current_term, leader.feed_n))
         while self.now - self.published[0].time > self.timings.apply_ms:
             self.note_stale_since(self.published.pop(0))
 
--- a/tests/crash_states.py
+++ b/tests/crash_states.py
@@ -67,14 +67,14 @@
 
     serial: int = 0
     tail: tuple[tuple[int, int], ...] = ()
-    promised: int = 0
+    current_term: int = 0
 
     def promise(self, term: int) -> "Model":
-        return dataclasses.replace(self, promised=max(self.promised, term))
+        return dataclasses.replace(self, current_term=max(self.current_term, term))
 
     def entry(self, serial: int, term: int) -> "Model":
         tail = (*(held for held in self.tail if held[0] < serial), (serial, term))
-        return Model(self.serial, tail, max(self.promised, term))
+        return Model(self.serial, tail, max(self.current_term, term))
 
     def agreed(self, serial: int) -> "Model":
         """Entries up to here are applied to the book."""
@@ -97,7 +97,7 @@
             shards=shards,
         )
         tail = tuple(entry(*held).entry for held in self.tail)
-        term = identifiers.Term(self.promised, "n" if self.promised else "")
+        term = identifiers.Term(self.current_term, "n" if self.current_term else "")
         return snapshot_store.Snapshot(state_machine.ReplicatedState(state, tail), term)
 
 
--- a/tests/model_mutations.py
+++ b/tests/model_mutations.py
@@ -115,24 +115,27 @@
 
 def campaign_in_old_term(self):
     """The member's name alone makes its term."""
-    promised, self.promised = self.promised, identifiers.Term(max(0, self.promised.count - 1), "")
+    current_term, self.current_term = (
+        self.current_term,
+        identifiers.Term(max(0, self.current_term.count - 1), ""),
+    )
     campaign_as_is(self)
-    if not self.camp:
-        self.promised = promised
+    if not self.candidacy:
+        self.current_term = current_term
 
 
-campaign_as_is = election.ElectionMixin.campaign
+campaign_as_is = election.ElectionMixin.start_candidacy
 
 
 def win_without_fetch(self):
-    c = self.camp
-    if self.dur_promised == c.term and self.head()[1] and self.may_stand() and self.quorum(c.votes):
+    c = self.candidacy
+    if self.synced_term == c.term and self.head()[1] and self.may_be_candidate() and self.quorum(c.votes):
         self.win()
         return
     weigh_as_is(self)
 
 
-weigh_as_is = election.ElectionMixin.weigh
+weigh_as_is = election.ElectionMixin.count_votes
 
 
 def never(self, *args):
@@ -151,19 +154,19 @@
 
 
 def ack_of_unsynced(self, n, ok, need):
-    was, self.dur = self.dur, self.head()
+    was, self.synced_head = self.synced_head, self.head()
     try:
         return ack_as_is(self, n, ok, need)
     finally:
-        self.dur = was
+        self.synced_head = was
 
 
-ack_as_is = follower.FollowerMixin.ack_for
+ack_as_is = follower.FollowerMixin.heartbeat_ack
 
 
 def append_over(self, op):
     """In place of an entry of this term that is not agreed yet."""
-    if len(self.tail) > 1 and self.tail[-1].term == self.promised:
+    if len(self.tail) > 1 and self.tail[-1].term == self.current_term:
         self.tail.pop()
     return append_as_is(self, op)
 
@@ -208,7 +211,7 @@
 
 def feed_old_copies(self, s):
     """Now and then a copy as it was some entries ago."""
-    if self.book.log_index % 3 == 0 and self.retained:
+    if self.book.log_index % 3 == 0 and self.retained_entries:
         self.needs.add(s)
     es, copy, pg, ps = load_as_is(self, s)
     if copy and getattr(self, "older", None):
@@ -217,7 +220,7 @@
     return es, copy, pg, ps
 
 
-load_as_is = replication.ReplicationMixin.load_for
+load_as_is = replication.ReplicationMixin.payload_for
 
 
 def copy_without_changes(self):
--- a/tests/model_word_mutations.py
+++ b/tests/model_word_mutations.py
@@ -13,10 +13,10 @@
 def vouch_by_anybody(self):
     """As many as a majority of the newest roster, whoever they are."""
     need = max(map(len, quorum.voter_sets(self.tip_book))) // 2 + 1
-    answered = sorted(map(self.beat_seen, {self.me.seat, *self.seen_n}), reverse=True)
+    answered = sorted(map(self.acked_number_of, {self.me.seat, *self.acked_heartbeat_numbers}), reverse=True)
     n = answered[need - 1] if len(answered) >= need else 0
-    self.vouched_n = max(self.vouched_n, n)
-    self.vouched = max(self.vouched, self.beats.get(n, -1))
+    self.confirmed_heartbeat_number = max(self.confirmed_heartbeat_number, n)
+    self.lease_started_at_ms = max(self.lease_started_at_ms, self.beats.get(n, -1))
 
 
 def pending_other_than_members(self, *ops):
--- a/tests/node.py
+++ b/tests/node.py
@@ -59,7 +59,7 @@
             role_owners={"zone/z1": state_machine.RoleOwner("st-s", 5, True)},
         )
         self.r.use_agreed_state()
-        self.r.lease_end = 10**12
+        self.r.lease_expires_at_ms = 10**12
         self.r.first_lease = 1
         self.n = 0
         self.news_n = 0
--- a/tests/test_control_scenarios.py
+++ b/tests/test_control_scenarios.py
@@ -83,7 +83,7 @@
 
 _judged, _load_for, _keep_snapshot = (
     operator_requests.OperatorRequestsMixin.judge_change,
-    replication.ReplicationMixin.load_for,
+    replication.ReplicationMixin.payload_for,
     role.Controller.keep_snapshot,
 )
 
--- a/tests/test_control_trials.py
+++ b/tests/test_control_trials.py
@@ -121,7 +121,7 @@
     """Start the node `key` as another member of the name `name`, with nothing on its disk."""
     n = w.nodes[key]
     disk = n.disk.load().ok_value
-    held, promised = disk
+    held, current_term = disk
     n.seat = f"{name}-new{w.rng.getrandbits(20):x}"
     me = member.Me(
         *("house", name, n.seat, "ledger", "z", n.addr, "", w.seeds, 0),
@@ -129,7 +129,7 @@
         first_start=False,
         founders=[],
     )
-    n.member = node.Controller(me, w.rng.getrandbits(32), w.now, held, promised, w.placement())
+    n.member = node.Controller(me, w.rng.getrandbits(32), w.now, held, current_term, w.placement())
     n.incarnation += 1
     w.tick(n, n.incarnation)
 
--- a/tests/test_controller_faults.py
+++ b/tests/test_controller_faults.py
@@ -34,7 +34,7 @@
 def test_a_thawed_follower_unseats_nobody():
     w = world(editions=1)
     k, f = w.leader(), others(w)[0]
-    gen = w.nodes[k].member.promised
+    gen = w.nodes[k].member.current_term
     for cut in (False, True):
         if cut:
             w.cut(k, f, both=False)
@@ -46,7 +46,7 @@
         else:
             w.freeze(f, False)
         w.run(2000)
-        assert (w.leader(), w.nodes[k].member.promised) == (k, gen)
+        assert (w.leader(), w.nodes[k].member.current_term) == (k, gen)
 
 
 @pytest.mark.parametrize("both", [True, False])
@@ -157,10 +157,10 @@
     w = world(editions=1)
     new = w.add("new")
     w.boot("new")
-    assert w.until(lambda: new.member.dur_promised.count, 3000) is not None
+    assert w.until(lambda: new.member.synced_term.count, 3000) is not None
     w.stall("new")
     w.run(3000)
-    assert new.member.head()[1] and not new.member.dur[1]
+    assert new.member.head()[1] and not new.member.synced_head[1]
     assert w.settled(*THREE)
     w.stall("new", False)
     w.run(600)
@@ -174,7 +174,7 @@
     late = state_machine.ReplicatedState(dataclasses.replace(m.book, log_index=1))
     b = f.member.leader
     for n in (1, b.n):
-        beat = messages.Beat(b.gen, b.seat, b.name, b.addr, n, 1, b.gen, b.gen, 1, [], late, 0, 0)
+        beat = messages.Heartbeat(b.gen, b.seat, b.name, b.addr, n, 1, b.gen, b.gen, 1, [], late, 0, 0)
         w.step(f, base.Heard(w.now, "", beat))
         assert f.member.book["serial"] == f.member.head()[1] == m.book["serial"]
 
@@ -183,7 +183,7 @@
     w = world(editions=1)
     n = w.nodes[w.leader()]
     n.member.rows_known = False
-    n.member.vouched -= 5000
+    n.member.lease_started_at_ms -= 5000
     w.step(n, events.Listed(w.now, True, [{"id": "r7"}]))
     assert not n.member.rows_known
     w.run(300)
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -232,7 +232,7 @@
     lead, n = w.nodes[w.leader()].member, w.nodes[controllers.others(w)[0]]
     r = of(w, n.name)[0]
     f = lead.book["slices"][shard_ownership.shard_of(r)]["fence"]
-    gen, k = lead.promised, lead.echoes[n.seat][0]
+    gen, k = lead.current_term, lead.latest_acks[n.seat][0]
     older = type(gen)(gen.count - 1, gen.name)
 
     def does(g, fence, echo):
--- a/tests/test_final_word.py
+++ b/tests/test_final_word.py
@@ -61,7 +61,7 @@
     out = [e for _ in range(5) for e in n.query()]
     out += n.until(2000)
     out += n.query(deadline=0)
-    n.r.lease_end = n.now - 10_000
+    n.r.lease_expires_at_ms = n.now - 10_000
     out += n.query()
     cs = node.final_answers(out)
     assert {c.body["error"] for c in cs} >= {"line-full", "no-leader", "deadline-too-short"}
@@ -82,5 +82,5 @@
         n.query(deadline=60_000)
     out = n.query(deadline=2000)
     assert [(c.body["error"], c.retry_after_ms) for c in node.final_answers(out)] == [("too-busy", 2000)]
-    n.r.lease_end = n.now - 2600
+    n.r.lease_expires_at_ms = n.now - 2600
     assert [c.retry_after_ms for c in node.final_answers(n.step(events.Tick(n.now)))] == [200] * 2
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -120,7 +120,7 @@
     w, (p, q) = world()
     w.kill(w.leader())
     assert w.until(w.leader, 1500) is not None
-    took = w.until(lambda: p.feed_gen == lead(w).promised == q.feed_gen, 3000)
+    took = w.until(lambda: p.feed_gen == lead(w).current_term == q.feed_gen, 3000)
     assert took is not None and took < 1500
     assert set(p.rows) == {"r1"} and edition(p) == 1 and p.changes == [{"r1"}]
     for n in list(w.controllers()):
@@ -151,7 +151,8 @@
     w, (p, _) = world()
     w.stop(w.leader())
     assert (
-        w.until(lambda: p.led() and p.feed_gen == lead(w).promised if w.leader() else False, 600) is not None
+        w.until(lambda: p.led() and p.feed_gen == lead(w).current_term if w.leader() else False, 600)
+        is not None
     )
 
 
@@ -160,7 +161,7 @@
     w.do_list = lambda n, e: w.later(2000, w.list, n, n.incarnation)
     w.listing = [{"id": "r2"}]
     w.kill(w.leader())
-    w.until(lambda: w.leader() and p.feed_gen == lead(w).promised, 4000)
+    w.until(lambda: w.leader() and p.feed_gen == lead(w).current_term, 4000)
     w.run(300)
     assert set(p.rows) == {"r1"}
     w.run(3000)
@@ -176,7 +177,7 @@
     got = sent(w, messages.Update)
     w.freeze(old, False)
     w.run(1000)
-    assert edition(p) == 2 and {m.gen for _, m in got} == {lead(w).promised}
+    assert edition(p) == 2 and {m.gen for _, m in got} == {lead(w).current_term}
 
 
 def test_live_proxies_are_counted_and_silent_ones_forgotten():
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -6,7 +6,7 @@
 import basaltport.messages as messages
 
 GEN = identifiers.Term(3, "ledger-1")
-BEAT = messages.Beat(
+BEAT = messages.Heartbeat(
     GEN,
     identifiers.MemberId("s1"),
     identifiers.Name("ledger-1"),
--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -73,14 +73,16 @@
     n = w.live()[0]
     old = []
     send = w.do_send
-    w.do_send = lambda x, e: old.append(e) if isinstance(e.msg, messages.Beat) and not old else send(x, e)
+    w.do_send = lambda x, e: (
+        old.append(e) if isinstance(e.msg, messages.Heartbeat) and not old else send(x, e)
+    )
     w.run(300)
     w.do_send = send
     w.run(8000)
     w.cut(w.leader().name, n.name)
-    end = n.member.lease_end
+    end = n.member.lease_expires_at_ms
     w.step(n, events.Heard(w.now, "", old[0].msg))
-    assert n.member.lease_end == end and n.member.book["serial"] == w.leader().member.book["serial"]
+    assert n.member.lease_expires_at_ms == end and n.member.book["serial"] == w.leader().member.book["serial"]
     assert [r["number"] for r in w.trace if r["k"] == "note" and r["number"] == 35] == [35]
 
 
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -55,7 +55,7 @@
     def remove(self, q):
         pass
 
-    def addr_of(self, seat):
+    def address_of(self, seat):
         return seat
 
     def estimate_retry_after(self, q):
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -39,7 +39,7 @@
     held = state_machine.ReplicatedState(state_machine.ClusterState(configuration=m), (e,))
     for n in range(5):
         age, g = identifiers.Millis(0), identifiers.Term()
-        frames.pack(messages.Beat(g, "s", "n", "a", n, 1, g, g, 1, [e], held, age, n))
+        frames.pack(messages.Heartbeat(g, "s", "n", "a", n, 1, g, g, 1, [e], held, age, n))
     record_framing.encode(log.EntryRecord(e))
     snapshot_store.encode(snapshot_store.Snapshot(held))
     assert sum(made) == 1
@@ -66,7 +66,7 @@
     assert [got[i][0] for i in range(40)] == [200] * 40 and got[39][1] - t < 2000
     assert sum(shapes) <= 40 and len(lines) <= 40 * 5
     assert not any(r["k"] == "note" and r["number"] == 15 for r in w.trace[before:])
-    beats = [x for x in sent if isinstance(x, messages.Beat)]
+    beats = [x for x in sent if isinstance(x, messages.Heartbeat)]
     assert not any(x.copy for x in beats)
     assert max(len(frames.pack(x)) for x in beats) < 20_000
     assert all(n.member.book["mserial"] == w.leader().member.book["mserial"] for n in w.live())
--- a/tests/test_log_gaps.py
+++ b/tests/test_log_gaps.py
@@ -15,7 +15,7 @@
 
 def entry(leader, index):
     """An entry of the leader's term."""
-    return log.LogEntry(identifiers.LogIndex(index), leader.promised, log.JointChangeCompleted())
+    return log.LogEntry(identifiers.LogIndex(index), leader.current_term, log.JointChangeCompleted())
 
 
 def follower_and_leader():
@@ -31,15 +31,15 @@
     after = entry(leader, ahead.log_index + 1)
     follower.tail.append(after)
     follower.advance(after.index, after.term)
-    assert list(follower.retained) == [after.index]
+    assert list(follower.retained_entries) == [after.index]
 
 
 def test_a_leader_with_a_gap_in_what_it_keeps_sends_a_copy():
     w, _, leader = follower_and_leader()
-    oldest = min(leader.retained)
-    assert leader.entries_from(oldest)[0] is not None
-    del leader.retained[oldest + 2]
-    assert leader.entries_from(oldest)[0] is None
+    oldest = min(leader.retained_entries)
+    assert leader.entries_after(oldest)[0] is not None
+    del leader.retained_entries[oldest + 2]
+    assert leader.entries_after(oldest)[0] is None
 
 
 @pytest.mark.parametrize("missing", [1, 2])
@@ -51,8 +51,8 @@
     if missing == 2:
         entries.append(entry(leader, serial + 4))
     head = follower.head()
-    beat = messages.Beat(
-        leader.promised, leader.me.seat, "k", leader.me.addr, 10**6, serial, head[0], head[0],
+    beat = messages.Heartbeat(
+        leader.current_term, leader.me.seat, "k", leader.me.addr, 10**6, serial, head[0], head[0],
         identifiers.LogIndex(serial), entries, None, 0, 0
     )  # fmt: skip
     assert follower.extend(beat) is False
@@ -64,7 +64,7 @@
     serial = follower.book.log_index
     follower.tail = [entry(leader, serial + 2)]
     with pytest.raises(errors.LogGapError, match=f"behind entry {serial}"):
-        follower.advance(serial + 2, leader.promised)
+        follower.advance(serial + 2, leader.current_term)
     assert follower.book.log_index == serial
 
 
@@ -74,7 +74,7 @@
     out = next(s for s in leader.book.members if s != leader.me.seat)
     row = dataclasses.replace(leader.book.members[out], member_id="new", address="10.9.9.9:1", name="new")
     leader.append(log.JointChangeBegun((out,), (row,)))
-    leader.acks[out] = leader.now
+    leader.acked_at_ms[out] = leader.now
     assert out in leader.live()
     leader.tip_book = dataclasses.replace(leader.tip_book, shards={})
     leader.since = leader.now - shard_ownership.GATHER_MS
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -76,7 +76,7 @@
     def one_leader_a_generation(self):
         if not hasattr(self, "w"):
             return
-        lead = [n.member.promised for n in self.w.nodes.values() if getattr(n.member, "leading", False)]
+        lead = [n.member.current_term for n in self.w.nodes.values() if getattr(n.member, "leading", False)]
         assert len(lead) == len(set(lead))
 
     def teardown(self):
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -59,9 +59,9 @@
     leader = w.nodes[w.leader()].member
     seat = w.nodes[others(w)[0]].seat
     leader.gone[seat] = leader.now
-    assert leader.lost_seat(seat)
+    assert leader.is_lost_member(seat)
     leader.gone[seat] = leader.now - timing.LEAVE_WAIT
-    assert not leader.lost_seat(seat)
+    assert not leader.is_lost_member(seat)
 
 
 def test_a_hello_that_comes_after_the_leave_it_was_sent_before_brings_nobody_back():
@@ -192,7 +192,7 @@
     w = world(6, 5)
     leader = w.nodes[w.leader()].member
     silent, leaving_one = (w.nodes[k].seat for k in others(w)[:2])
-    leader.acks[silent] = leader.now - timing.SILENT - 1
+    leader.acked_at_ms[silent] = leader.now - timing.SILENT - 1
     leader.gone[leaving_one] = leader.now
     assert sorted([leaving_one, silent], key=leader.drop_order) == [silent, leaving_one]
 
@@ -258,8 +258,16 @@
     beat = n.member.n
     call = w.ask(n.name, "configuration")
     for k in others(w):
-        ack = messages.Ack(
-            n.member.promised, w.nodes[k].seat, beat, 1, True, n.member.promised, *n.member.head(), 0, False
+        ack = messages.HeartbeatAck(
+            n.member.current_term,
+            w.nodes[k].seat,
+            beat,
+            1,
+            True,
+            n.member.current_term,
+            *n.member.head(),
+            0,
+            False,
         )
         w.step(n, events.Heard(w.now, "", ack))
     assert w.answers[call] is None
@@ -293,9 +301,9 @@
 def test_the_wait_for_an_old_lease_counts_from_the_beginning_of_the_process():
     w = world(1, 3)
     n = w.nodes[others(w)[0]]
-    held, promised = n.disk.load().ok_value
+    held, current_term = n.disk.load().ok_value
     for began, votes in ((w.now, False), (w.now - timing.VOTE_REFUSAL, True)):
-        controller = role.Controller(n.member.me, 7, w.now, held, promised, w.placement(), began=began)
+        controller = role.Controller(n.member.me, 7, w.now, held, current_term, w.placement(), began=began)
         assert controller.may_vote() is votes
 
 
@@ -311,11 +319,11 @@
     voter, other = (w.nodes[k].member for k in others(w))
     name = other.me.name
     me = member.Me("house", name, "twin", "ledger", "z", "10.9.9.9:1", "", w.seeds, 0, voters="ledgers")
-    twin = role.Controller(me, 7, w.now, other.copy(), other.promised, w.placement())
+    twin = role.Controller(me, 7, w.now, other.copy(), other.current_term, w.placement())
     terms = [other.next_term(), twin.next_term()]
     assert terms[0].count == terms[1].count and terms[0] != terms[1]
     voter.heard_at = voter.now - timing.ELECTION_TIMEOUT
     for term, candidate in zip(sorted(terms, reverse=True), (other, twin), strict=True):
-        campaign = messages.Campaign(term, candidate.me.seat, candidate.me.name, candidate.me.addr)
-        voter.step(events.Heard(w.now, "", campaign))
-    assert voter.promised == max(terms)
+        start_candidacy = messages.VoteRequest(term, candidate.me.seat, candidate.me.name, candidate.me.addr)
+        voter.step(events.Heard(w.now, "", start_candidacy))
+    assert voter.current_term == max(terms)
--- a/tests/test_mutations.py
+++ b/tests/test_mutations.py
@@ -39,10 +39,10 @@
 
 
 def _eager_lease(self, s, r):
-    if r["role"] != "rostrum" or s not in self.echoes:
+    if r["role"] != "rostrum" or s not in self.latest_acks:
         return 0
-    self.lapse[s] = self.echoes[s][1] + self.policy.follower_lease_ms + follower_lease.MARGIN
-    return self.echoes[s][0]
+    self.lapse[s] = self.latest_acks[s][1] + self.policy.follower_lease_ms + follower_lease.MARGIN
+    return self.latest_acks[s][0]
 
 
 def _use_all(self, replica):
@@ -63,10 +63,10 @@
 
 def _alone(self):
     """Agreed by the leader's own disk."""
-    self.tail = [dataclasses.replace(e, term=self.promised) for e in self.tail]
+    self.tail = [dataclasses.replace(e, term=self.current_term) for e in self.tail]
     if self.tail:
         last = self.tail[-1]
-        self.advance(last.index, self.promised)
+        self.advance(last.index, self.current_term)
         for w in self.waiting:
             w["committed"] = self.now
 
@@ -79,9 +79,9 @@
 
 def _lead_on(self):
     if self.leading:
-        self.keep_roster()
+        self.maintain_membership()
         self.keep_duties()
-        if self.now - self.beat_at >= timing.HEARTBEAT:
+        if self.now - self.heartbeat_sent_at_ms >= timing.HEARTBEAT:
             self.beat()
         self.settle()
 
--- a/tests/test_transfers.py
+++ b/tests/test_transfers.py
@@ -18,12 +18,12 @@
 
 def copies(w, leader, seat, rounds, each_round):
     """How many heartbeats with a copy of the log go to a seat in some rounds of 200 ms."""
-    address = leader.addr_of(seat)
+    address = leader.address_of(seat)
     sent = []
     send = w.do_send
 
     def watch(n, e):
-        if e.addr == address and isinstance(e.msg, messages.Beat) and e.msg.copy:
+        if e.addr == address and isinstance(e.msg, messages.Heartbeat) and e.msg.copy:
             sent.append(e.msg)
         send(n, e)
 
@@ -37,7 +37,9 @@
 
 def lacking(leader, seat, beat):
     """What a member answers to a heartbeat whose entries it can't join on to what it has."""
-    return messages.Ack(leader.promised, seat, beat, 1, True, leader.promised, *leader.head(), 0, True)
+    return messages.HeartbeatAck(
+        leader.current_term, seat, beat, 1, True, leader.current_term, *leader.head(), 0, True
+    )
 
 
 def test_a_large_copy_is_sent_once_while_it_may_be_on_its_way():
@@ -57,36 +59,36 @@
 
 def test_a_lost_copy_is_sent_again_once_a_later_heartbeat_was_answered_without_it():
     w, leader, seat = led()
-    leader.transfers[seat] = replication.Transfer(
+    leader.transfers_in_flight[seat] = replication.Transfer(
         leader.n, w.now, 10**6, leader.book.log_index, leader.head()[1]
     )
     leader.match.pop(seat, None)
-    ack = messages.Ack(
-        leader.promised, seat, leader.n + 1, 1, True, leader.promised, *leader.head(), 0, False
+    ack = messages.HeartbeatAck(
+        leader.current_term, seat, leader.n + 1, 1, True, leader.current_term, *leader.head(), 0, False
     )
-    leader.see_transfer(ack)
-    assert not leader.on_its_way(seat)
+    leader.finish_transfer(ack)
+    assert not leader.is_in_flight(seat)
 
 
 def test_a_member_that_lacks_what_was_sent_before_is_not_sent_it_anew():
     w, leader, seat = led()
-    leader.transfers[seat] = replication.Transfer(
+    leader.transfers_in_flight[seat] = replication.Transfer(
         leader.n, w.now, 10**6, leader.book.log_index, leader.head()[1]
     )
 
-    assert leader.to_come(lacking(leader, seat, leader.n - 1))
-    assert not leader.to_come(lacking(leader, seat, leader.n))
-    assert not leader.on_its_way(seat)
+    assert leader.was_sent_later(lacking(leader, seat, leader.n - 1))
+    assert not leader.was_sent_later(lacking(leader, seat, leader.n))
+    assert not leader.is_in_flight(seat)
 
 
 def test_what_comes_behind_a_large_transfer_does_not_end_it():
     w, leader, seat = led()
-    leader.transfers.clear()
-    leader.note_transfer(seat, 10**6)
+    leader.transfers_in_flight.clear()
+    leader.record_transfer(seat, 10**6)
     leader.now += 300
-    leader.note_transfer(seat, 100)
-    assert leader.transfers[seat].size == 10**6 + 100
+    leader.record_transfer(seat, 100)
+    assert leader.transfers_in_flight[seat].size == 10**6 + 100
     leader.now += 2000
-    assert leader.on_its_way(seat)
+    assert leader.is_in_flight(seat)
     leader.now += 2000
-    assert not leader.on_its_way(seat)
+    assert not leader.is_in_flight(seat)
--- a/tests/test_virtual_disk.py
+++ b/tests/test_virtual_disk.py
@@ -25,8 +25,8 @@
 
 
 def _held(disk):
-    held, promised = disk.load().ok_value
-    return held.cluster_state.log_index, tuple(e.index for e in held.uncommitted), promised.count
+    held, current_term = disk.load().ok_value
+    return held.cluster_state.log_index, tuple(e.index for e in held.uncommitted), current_term.count
 
 
 def _outcomes(under_way):
@@ -93,5 +93,5 @@
 
 
 def test_an_empty_disk_gives_back_that_nothing_was_promised():
-    held, promised = virtual_disk.VirtualDisk(random.Random(1)).load().ok_value
-    assert held == snapshot_store.Snapshot().held and promised == identifiers.Term()
+    held, current_term = virtual_disk.VirtualDisk(random.Random(1)).load().ok_value
+    assert held == snapshot_store.Snapshot().held and current_term == identifiers.Term()
