--- a/basaltport/simulation/routes/control_world.py
+++ b/basaltport/simulation/routes/control_world.py
@@ -128,4 +128,4 @@
         if leader is None or node is None or node.member is None:
             return False
         state = self.nodes[leader].member.book
-        return node.seat in state["roster"] and bool(node.member.book.log_index >= state["serial"])
+        return node.seat in state.members and bool(node.member.book.log_index >= state.log_index)
--- a/basaltport/simulation/routes/fleet_world.py
+++ b/basaltport/simulation/routes/fleet_world.py
@@ -229,7 +229,7 @@
 
     def differs(self, node: nodes.Node, state: nodes.AgreedState) -> None:
         """What is agreed differs: a finding of the checks."""
-        self.record(process_rows.Differs, node.name, int(state["serial"]))
+        self.record(process_rows.Differs, node.name, int(state.log_index))
 
     def step(self, node: nodes.Node, event: processes.Event) -> None:
         """After each step of a proxy: which configuration it has."""
--- a/basaltport/simulation/routes/play.py
+++ b/basaltport/simulation/routes/play.py
@@ -7,6 +7,7 @@
 
 import absl.flags as flags
 
+import basaltport.command_line.command as command
 import basaltport.simulation.finding as finding
 import basaltport.simulation.routes.control as control
 import basaltport.simulation.routes.fleet_size as fleet_size
@@ -15,7 +16,6 @@
 import basaltport.simulation.routes.request_rows as request_rows
 import basaltport.simulation.routes.scenes as scenes
 import basaltport.simulation.trace as trace
-import basaltport.command_line.command as command
 
 FINDINGS_SHOWN = 5
 USAGE = 2
