--- a/basaltport/consensus/leaving.py
+++ b/basaltport/consensus/leaving.py
@@ -1,39 +1,80 @@
 """A member that is told to stop: it says so, and goes on voting until the others have removed it."""
 
+import typing
+
+import basaltport.consensus.listeners as listeners
 import basaltport.consensus.quorum as quorum
+import basaltport.consensus.state_machine as state_machine
 import basaltport.consensus.timing as timing
+import basaltport.consensus.voting_policy as voting_policy
+import basaltport.events as events
+import basaltport.identifiers as identifiers
+import basaltport.member as member
 import basaltport.messages as messages
 
 LEAST = 3
+"""How many voters are left at least when lost ones are dropped."""
 
 
-def spare(seats, live):
-    """How many of the live seats may be lost with most of all seats left."""
-    return live - seats // 2 - 1
+def spare(voters: int, live: int) -> int:
+    """How many of the live voters may be lost while a majority of all voters remains; negative without one."""
+    return live - voters // 2 - 1
 
 
-def seats_to_drop(seats, live):
-    """How many of the seats that are not live go, so that the most losses are borne with LEAST seats left:
+def seats_to_drop(voters: int, live: int) -> int:
+    """How many of the voters that are not live go, so that the most losses are borne with LEAST voters left:
     as few as will do for that, and none where nothing is gained."""
-    most = min(seats - live, seats - LEAST)
-    return max(range(max(most, 0) + 1), key=lambda n: (spare(seats - n, live), -n))
+    most = min(voters - live, voters - LEAST)
+    return max(range(max(most, 0) + 1), key=lambda dropped: (spare(voters - dropped, live), -dropped))
+
+
+def worth_dropping(voters: int, live: int) -> bool:
+    """Whether more losses are borne without some of the voters that are not live."""
+    return seats_to_drop(voters, live) > 0
+
+
+class LeavingNeeds(typing.Protocol):
+    """What `LeavingMixin` needs of the node it is part of."""
+
+    me: member.Me
+    now: identifiers.Millis
+    book: state_machine.ClusterState
+    policy: voting_policy.VotingPolicy
+    listeners: listeners.Listeners
+    learners: dict[str, dict[str, typing.Any]]
+    leading: bool
+    stopped: bool
+
+    def send(self, addr: str, msg: object) -> None:
+        """Send a message to an address."""
+
+    def voter_addresses(self) -> list[str]:
+        """Addresses of all other voters."""
+
+    def hand_over(self, why: str) -> None:
+        """Name a successor and step down."""
+
+    def follower_stops(self, member_id: str) -> None:
+        """Forget the lease of a follower that stops."""
 
 
-def worth_dropping(seats, live):
-    """Whether more losses are borne without some of the seats that are not live."""
-    return seats_to_drop(seats, live) > 0
+if typing.TYPE_CHECKING:
+    Needs = LeavingNeeds
+else:
+    Needs = object
 
 
-class LeavingMixin:
-    """`gone`: when each member that leaves last said so."""
+class LeavingMixin(Needs):
+    """`gone`: when each member that leaves last said so, in milliseconds of this member's clock."""
 
-    def leaving_start(self):
-        self.gone = {}
-        self.leaving_said_at_ms = None
+    def leaving_start(self) -> None:
+        """Begin with no member known to leave, and tell each new leader if this one does."""
+        self.gone: dict[str, int] = {}
+        self.leaving_said_at_ms: int | None = None
         if self.policy.joint_consensus:
             self.listeners.heartbeat_heard.append(self.tell_leader)
 
-    def on_stop(self, ev):
+    def on_stop(self, ev: events.Stop) -> None:
         """A leader hands over. Whoever will be removed goes on voting until then: see `released`."""
         for call in self.listeners.stopping:
             call()
@@ -44,35 +85,38 @@
         if self.leading:
             self.hand_over("it stops")
 
-    def announce_leaving(self, addrs):
+    def announce_leaving(self, addresses: list[str]) -> None:
+        """Tell the members at these addresses that this one leaves, and note when."""
         self.leaving_said_at_ms = self.now
-        for a in addrs:
-            self.send(a, messages.MemberLeaving(self.me.seat))
+        for address in addresses:
+            self.send(address, messages.MemberLeaving(self.me.seat))
 
-    def tell_leader(self, m):
+    def tell_leader(self, heartbeat: messages.Heartbeat) -> None:
         """A leader that was elected since is told as well that this member leaves."""
-        if self.stopped and self.now - self.leaving_said_at_ms >= timing.LEAVE_AGAIN:
-            self.announce_leaving([m.addr])
+        said_at_ms = self.leaving_said_at_ms
+        if self.stopped and said_at_ms is not None and self.now - said_at_ms >= timing.LEAVE_AGAIN:
+            self.announce_leaving([heartbeat.addr])
 
-    def hear_member_leaving(self, src, m):
+    def hear_member_leaving(self, src: str, message: messages.MemberLeaving) -> None:
+        """A member leaves: it is removed by the leader, and learns no more if it did not vote yet."""
         if not self.policy.joint_consensus:
-            self.follower_stops(m.seat)
+            self.follower_stops(message.seat)
             return
-        self.gone[m.seat] = self.now
-        self.learners.pop(m.seat, None)
+        self.gone[message.seat] = self.now
+        self.learners.pop(message.seat, None)
 
-    def note_return(self, s):
+    def note_return(self, member_id: str) -> None:
         """One that acknowledges or says hello long after it said that it leaves has come back. What it sent
         before may come later than its leave."""
-        if self.now - self.gone.get(s, self.now) > timing.LEFT:
-            del self.gone[s]
+        if self.now - self.gone.get(member_id, self.now) > timing.LEFT:
+            del self.gone[member_id]
 
-    def released(self):
+    def released(self) -> bool:
         """Whether the process may end after `Stop`: it votes no more, or the others will not remove it,
         or it has waited for that long enough. Until then a further loss may need its vote (M8)."""
         if not self.stopped or self.now - self.stopped_at >= timing.LEAVE_WAIT:
             return True
-        seats = quorum.voters(self.book)
-        if self.me.seat not in seats:
+        voters = quorum.voters(self.book)
+        if self.me.seat not in voters:
             return True
-        return self.book.former_members is None and not worth_dropping(len(seats), len(seats) - 1)
+        return self.book.former_members is None and not worth_dropping(len(voters), len(voters) - 1)
