--- a/basaltport/consensus/follower.py
+++ b/basaltport/consensus/follower.py
@@ -1,232 +1,324 @@
 """What every member does, leading or not: it holds the log, takes heartbeats and acknowledges what it has
 synced."""
 
-import basaltport.consensus.book as book
+import collections.abc
+import random
+import typing
+
+import basaltport.consensus.listeners as listeners
 import basaltport.consensus.log as log
 import basaltport.consensus.sizes as sizes
 import basaltport.consensus.state_machine as state_machine
+import basaltport.consensus.voting_policy as voting_policy
 import basaltport.errors as errors
 import basaltport.identifiers as identifiers
+import basaltport.log_events as log_events
+import basaltport.member as member
 import basaltport.messages as messages
 
 LIFE = 32
 """Of the number of an acknowledgement: the bits below those that tell the process apart."""
-REPLAYED = 25
-LONG_AGO = -(10**9)
-NONE = identifiers.Term()
+INCARNATION_BITS = 30
+REPLAYED_HEARTBEATS = 25
+"""A heartbeat that is older than the newest by so many was held up on the way or sent again; it is logged."""
+LONG_AGO_MS = -(10**9)
+NEVER_LEASED_MS = -1
+NO_TERM = identifiers.Term()
 REMEMBERED_ACKS = 200
 
+Head = tuple[identifiers.Term, identifiers.LogIndex]
+"""Term and index of the last entry that is held."""
+
+
+class FollowerNeeds(typing.Protocol):
+    """What `FollowerMixin` needs of the node it is part of."""
+
+    me: member.Me
+    now: identifiers.Millis
+    rng: random.Random
+    policy: voting_policy.VotingPolicy
+    listeners: listeners.Listeners
+    current_term: identifiers.Term
+    leading: bool
+    durable: bool
+
+    def send(self, addr: str, msg: object) -> None:
+        """Send a message to an address."""
+
+    def note(self, number: int, **fields: object) -> None:
+        """Log an event."""
+
+    def write(
+        self,
+        records: list[log.DiskRecord],
+        whole: state_machine.ReplicatedState | None = None,
+        then: collections.abc.Iterable[object] = (),
+    ) -> None:
+        """Ask for records, or all that is held, to be synced."""
 
-class FollowerMixin:
+    def install(self, copy: state_machine.ReplicatedState) -> None:
+        """Take over a copy of what another member holds."""
+
+    def lose_leadership(self, gen: identifiers.Term) -> None:
+        """Another leads in a later term."""
+
+
+if typing.TYPE_CHECKING:
+    Needs = FollowerNeeds
+else:
+    Needs = object
+
+
+class FollowerMixin(Needs):
     """`book` is what is in force here; `tail` is held but not yet known to be agreed."""
 
-    def follower_start(self, held=None, current_term=NONE):
-        """Acknowledgements are numbered apart from those of an earlier life of the same member."""
+    def follower_start(
+        self, held: state_machine.ReplicatedState | None = None, current_term: identifiers.Term = NO_TERM
+    ) -> None:
+        """Begin with what the disk had. Acknowledgements are numbered apart from those of an earlier
+        incarnation of the same member."""
         held = held or state_machine.ReplicatedState()
         self.book = held.cluster_state
         self.tail = list(held.uncommitted)
         self.stopped = False
-        self.older_terms_noted = set()
-        self.replayed = set()
+        self.older_terms_noted: set[identifiers.Term] = set()
+        self.replayed: set[identifiers.Term] = set()
         self.newest_heartbeat_number = 0
-        self.leader = None
-        self.heard_at = LONG_AGO
-        self.last_ack_number = self.rng.getrandbits(30) << LIFE if self.policy.pre_vote else 0
-        self.sent_at = {}
-        self.lease_expires_at_ms = -1
+        self.leader: messages.Heartbeat | None = None
+        self.heard_at = LONG_AGO_MS
+        self.last_ack_number = self.rng.getrandbits(INCARNATION_BITS) << LIFE if self.policy.pre_vote else 0
+        self.sent_at: dict[int, int] = {}
+        self.lease_expires_at_ms = NEVER_LEASED_MS
         self.synced_head = self.head()
         self.synced_term = current_term
-        self.retained_entries = {}
-        self.retained_bytes = 0
+        self.clear_retained_entries()
 
-    def head(self):
+    def head(self) -> Head:
+        """Term and index of the last entry held, committed or not."""
         if self.tail:
-            return book.gen_of(self.tail[-1]), identifiers.LogIndex(self.tail[-1]["s"])
-        return book.gen(self.book), book.serial(self.book)
+            return self.tail[-1].term, identifiers.LogIndex(self.tail[-1].index)
+        return self.book.term, self.book.log_index
 
-    def leased(self):
+    def leased(self) -> bool:
+        """Whether this follower may act by the lease that its leader gave it."""
         return self.now < self.lease_expires_at_ms
 
-    def tip(self):
-        b = self.book
-        for e in self.tail:
-            b = book.apply(b, e)
-        return b
+    def tip(self) -> state_machine.ClusterState:
+        """The state with all entries held, committed or not."""
+        return state_machine.apply_all(self.book, self.tail)
 
-    def mark_synced(self, head, promise):
+    def mark_synced(self, head: Head, promise: identifiers.Term) -> None:
+        """Records up to `head`, and the term `promise`, are on the disk: tell the leader and listeners."""
         self.synced_head, self.synced_term = head, promise
         if self.leader:
             self.ack(self.leader)
         for call in self.listeners.log_synced:
             call()
 
-    def disk_failed(self):
-        self.note(23)
+    def disk_failed(self) -> None:
+        """A write failed: log it and tell the listeners."""
+        self.note(log_events.Event.DISK_FAILED)
         for call in self.listeners.disk_failed:
             call()
 
-    def state_applied(self):
-        """A newer book is in force here."""
+    def state_applied(self) -> None:
+        """A newer state is in force here."""
         for call in self.listeners.state_applied:
             call()
 
-    def follow_nobody(self, since):
+    def follow_nobody(self, since: int) -> None:
+        """No leader is known; `since`: from when its silence counts, in milliseconds."""
         self.leader = None
         self.heard_at = since
 
-    def hear_leadership_transfer(self, src, m):
-        followed = self.leader is not None and m.gen == self.leader.gen
+    def hear_leadership_transfer(self, src: str, message: messages.LeadershipTransfer) -> None:
+        """The leader resigns: it is followed no more, and whom it names may stand."""
+        followed = self.leader is not None and message.gen == self.leader.gen
         if followed:
             for call in self.listeners.leader_resigned:
-                call(m)
-            self.follow_nobody(LONG_AGO)
+                call(message)
+            self.follow_nobody(LONG_AGO_MS)
         if followed or not self.policy.pre_vote:
             for call in self.listeners.transfer_heard:
-                call(m)
+                call(message)
 
     # heartbeats
 
-    def hear_heartbeat(self, src, m):
-        self.take_heartbeat(m)
+    def hear_heartbeat(self, src: str, message: messages.Heartbeat) -> None:
+        """Take a heartbeat, then tell the listeners."""
+        self.take_heartbeat(message)
         for call in self.listeners.heartbeat_heard:
-            call(m)
+            call(message)
 
-    def take_heartbeat(self, m):
-        if self.policy.ordered_heartbeats and not self.in_order(m):
+    def take_heartbeat(self, heartbeat: messages.Heartbeat) -> None:
+        """Follow its leader, take the entries or the copy, and acknowledge; an older term is refused."""
+        if self.policy.ordered_heartbeats and not self.in_order(heartbeat):
             return
-        if m.gen < self.current_term:
-            self.refuse_heartbeat(m)
+        if heartbeat.gen < self.current_term:
+            self.refuse_heartbeat(heartbeat)
             return
-        if m.gen > self.current_term:
-            self.current_term = m.gen
-            self.lose_leadership(m.gen)
-            self.write([log.TermRecord(m.gen)])
-        self.note_leader(m)
+        if heartbeat.gen > self.current_term:
+            self.current_term: identifiers.Term = heartbeat.gen
+            self.lose_leadership(heartbeat.gen)
+            self.write([log.TermRecord(heartbeat.gen)])
+        self.note_leader(heartbeat)
         need = False
-        if m.copy:
-            self.install(m.copy)
-        elif m.entries:
-            need = not self.extend(m)
-        self.advance(m.commit, m.cgen)
+        if heartbeat.copy:
+            self.install(heartbeat.copy)
+        elif heartbeat.entries:
+            need = not self.extend(heartbeat)
+        self.advance(heartbeat.commit, heartbeat.cgen)
+        self.extend_lease(heartbeat)
+        self.ack(heartbeat, need)
+
+    def extend_lease(self, heartbeat: messages.Heartbeat) -> None:
+        """Renew this follower's lease where the leader gives back an acknowledgement."""
         # M5: a lease runs from the sending of an acknowledgement that the leader had.
-        if m.echo in self.sent_at and not self.stopped:
-            self.lease_expires_at_ms = max(
-                self.lease_expires_at_ms, self.sent_at[m.echo] + self.policy.follower_lease_ms - m.age
-            )
-        self.ack(m, need)
+        if heartbeat.echo not in self.sent_at or self.stopped:
+            return
+        lease_ms = self.policy.follower_lease_ms - heartbeat.age
+        self.lease_expires_at_ms = max(self.lease_expires_at_ms, self.sent_at[heartbeat.echo] + lease_ms)
 
-    def in_order(self, m):
-        """What comes late by an older connection must not take back what was synced since (M6)."""
-        if self.leader is not None and m.gen == self.leader.gen and m.n < self.newest_heartbeat_number:
-            return False
-        g, s = self.head()
-        if m.copy and g == m.gen:
-            if m.copy.last_index <= s:
-                m.copy = None
+    def in_order(self, heartbeat: messages.Heartbeat) -> bool:
+        """Whether a heartbeat may be taken; a copy in it that brings nothing new is dropped. What comes late
+        by an older connection must not take back what was synced since (M6)."""
+        if self.leader is not None and heartbeat.gen == self.leader.gen:
+            if heartbeat.n < self.newest_heartbeat_number:
+                return False
+        last_term, last_index = self.head()
+        if heartbeat.copy and last_term == heartbeat.gen and heartbeat.copy.last_index <= last_index:
+            heartbeat.copy = None
         return True
 
-    def refuse_heartbeat(self, m):
-        if m.gen not in self.older_terms_noted:
-            self.older_terms_noted = {m.gen}
-            self.note(34, leader=m.name, generation=m.gen.text(), promised=self.current_term.text())
-        self.send(m.addr, self.heartbeat_ack(m.n, False, False))
+    def refuse_heartbeat(self, heartbeat: messages.Heartbeat) -> None:
+        """Tell a leader of an older term of the current one; each such term is logged once."""
+        if heartbeat.gen not in self.older_terms_noted:
+            self.older_terms_noted = {heartbeat.gen}
+            self.note(
+                log_events.Event.OLD_GENERATION,
+                leader=heartbeat.name,
+                generation=heartbeat.gen.text(),
+                promised=self.current_term.text(),
+            )
+        self.send(heartbeat.addr, self.heartbeat_ack(heartbeat.n, False, False))
 
-    def note_leader(self, m):
-        if self.leader is None or self.leader.gen != m.gen:
-            self.note(10, leader=m.name, generation=m.gen.text())
+    def note_leader(self, heartbeat: messages.Heartbeat) -> None:
+        """Follow the sender of a heartbeat; a new leader, and heartbeats that come again, are logged."""
+        if self.leader is None or self.leader.gen != heartbeat.gen:
+            self.note(log_events.Event.LEADER_HEARD, leader=heartbeat.name, generation=heartbeat.gen.text())
             self.newest_heartbeat_number = 0
-        if m.n + REPLAYED <= self.newest_heartbeat_number and m.gen not in self.replayed:
-            self.replayed = {m.gen}
-            self.note(35, leader=m.name, generation=m.gen.text(), n=m.n, newest=self.newest_heartbeat_number)
-        self.newest_heartbeat_number = max(self.newest_heartbeat_number, m.n)
-        self.leader = m
+        is_replayed = heartbeat.n + REPLAYED_HEARTBEATS <= self.newest_heartbeat_number
+        if is_replayed and heartbeat.gen not in self.replayed:
+            self.replayed = {heartbeat.gen}
+            self.note(
+                log_events.Event.FRAME_REPLAYED,
+                leader=heartbeat.name,
+                generation=heartbeat.gen.text(),
+                n=heartbeat.n,
+                newest=self.newest_heartbeat_number,
+            )
+        self.newest_heartbeat_number = max(self.newest_heartbeat_number, heartbeat.n)
+        self.leader = heartbeat
         self.heard_at = self.now
 
-    def ack(self, m, need=False):
+    def ack(self, heartbeat: messages.Heartbeat, need: bool = False) -> None:
+        """Acknowledge a heartbeat, but not before its term is on the disk. `need`: a copy is needed."""
         if self.durable and self.synced_term != self.current_term:
             return
-        self.send(m.addr, self.heartbeat_ack(m.n, True, need))
+        self.send(heartbeat.addr, self.heartbeat_ack(heartbeat.n, True, need))
 
-    def heartbeat_ack(self, n, ok, need):
+    def heartbeat_ack(self, heartbeat_number: int, ok: bool, need: bool) -> messages.HeartbeatAck:
+        """The next acknowledgement, with how far the log is synced; when it was made is remembered."""
         self.last_ack_number += 1
         self.sent_at[self.last_ack_number] = self.now
         self.sent_at.pop(self.last_ack_number - REMEMBERED_ACKS, None)
-        g, s = self.synced_head if self.durable else self.head()
+        last_term, last_index = self.synced_head if self.durable else self.head()
         return messages.HeartbeatAck(
             self.current_term,
             self.me.seat,
-            n,
+            heartbeat_number,
             self.last_ack_number,
             ok,
             self.current_term,
-            g,
-            s,
-            book.serial(self.book),
+            last_term,
+            last_index,
+            self.book.log_index,
             need,
         )
 
     # the log
 
-    def extend(self, m):
-        have = {book.serial(self.book): book.gen(self.book)}
-        have.update({identifiers.LogIndex(e["s"]): book.gen_of(e) for e in self.tail})
-        if m.pserial < book.serial(self.book):
-            es = [e for e in m.entries if e["s"] > book.serial(self.book)]
-            if not es or not book.contiguous(es, book.serial(self.book)):
-                return bool(m.entries and m.entries[-1]["s"] <= book.serial(self.book))
-        elif have.get(m.pserial) != m.pgen or not book.contiguous(m.entries, m.pserial):
+    def extend(self, heartbeat: messages.Heartbeat) -> bool:
+        """Add a heartbeat's entries to the log, in place of those that differ; False where they don't join on
+        and this member needs others."""
+        applied = self.book.log_index
+        terms = {applied: self.book.term}
+        terms.update({entry.index: entry.term for entry in self.tail})
+        entries = heartbeat.entries
+        if heartbeat.pserial < applied:
+            entries = [entry for entry in entries if entry.index > applied]
+            if not entries or not log.are_contiguous(entries, applied):
+                return bool(heartbeat.entries and heartbeat.entries[-1].index <= applied)
+        elif terms.get(heartbeat.pserial) != heartbeat.pgen:
+            return False
+        elif not log.are_contiguous(entries, heartbeat.pserial):
             return False
-        else:
-            es = m.entries
-        i = 0
-        while i < len(es) and have.get(es[i]["s"]) == book.gen_of(es[i]):
-            i += 1
-        es = es[i:]
-        if not es:
+        held = 0
+        while held < len(entries) and terms.get(entries[held].index) == entries[held].term:
+            held += 1
+        entries = entries[held:]
+        if not entries:
             return True
-        self.tail = [e for e in self.tail if e["s"] < es[0]["s"]] + es
-        self.write([log.EntryRecord(e) for e in es])
+        self.tail = [entry for entry in self.tail if entry.index < entries[0].index] + entries
+        self.write([log.EntryRecord(entry) for entry in entries])
         return True
 
-    def advance(self, commit, cgen):
+    def advance(self, commit: int, commit_term: identifiers.Term) -> None:
+        """Apply entries up to the index `commit`, where the one there is of `commit_term`; LogGapError where
+        entries before it are missing."""
         if commit <= self.book.log_index:
             return
-        if not any(e["s"] == commit and book.gen_of(e) == cgen for e in self.tail):
+        if not any(entry.index == commit and entry.term == commit_term for entry in self.tail):
             return
         # M6: no gap in what is in force.
-        if not book.contiguous(self.tail, self.book.log_index):
+        if not log.are_contiguous(self.tail, self.book.log_index):
             raise errors.LogGapError(self.book.log_index)
         applied = []
-        while self.tail and self.tail[0]["s"] <= commit:
-            e = self.tail.pop(0)
-            self.book = book.apply(self.book, e)
-            applied.append(e)
+        while self.tail and self.tail[0].index <= commit:
+            entry = self.tail.pop(0)
+            self.book = state_machine.apply(self.book, entry)
+            applied.append(entry)
         self.state_applied()
         if self.leading or self.policy.followers_retain_entries:
-            for e in applied:
-                self.retain(e)
+            for entry in applied:
+                self.retain(entry)
 
-    def retain(self, e):
+    def retain(self, entry: log.LogEntry) -> None:
         """Committed entries without a gap, the newest of them, for members that lack them."""
-        if self.retained_entries and e["s"] - 1 not in self.retained_entries:
+        if self.retained_entries and entry.index - 1 not in self.retained_entries:
             self.clear_retained_entries()
-        self.retained_entries[e["s"]] = e
-        self.retained_bytes += sizes.entry_size(e)
-        limit = self.policy.retained_bytes_max
-        while len(self.retained_entries) > self.policy.retained_entries_max or (
-            limit is not None and self.retained_bytes > limit and len(self.retained_entries) > 1
-        ):
-            self.retained_bytes -= sizes.entry_size(
-                self.retained_entries.pop(next(iter(self.retained_entries)))
-            )
+        self.retained_entries[entry.index] = entry
+        self.retained_bytes += sizes.entry_size(entry)
+        while self.retains_too_much():
+            oldest = self.retained_entries.pop(next(iter(self.retained_entries)))
+            self.retained_bytes -= sizes.entry_size(oldest)
         for call in self.listeners.entry_retained:
-            call(e)
+            call(entry)
+
+    def retains_too_much(self) -> bool:
+        """Whether more entries or bytes are retained than the policy allows; one entry always may be."""
+        if len(self.retained_entries) > self.policy.retained_entries_max:
+            return True
+        limit = self.policy.retained_bytes_max
+        return limit is not None and self.retained_bytes > limit and len(self.retained_entries) > 1
 
-    def retained_behind(self, was):
-        """A copy took the place of what was in force at serial `was`."""
-        at = self.book.log_index
-        if at > was and at not in self.retained_entries:
+    def retained_behind(self, was: int) -> None:
+        """A copy took the place of what was in force at the index `was`."""
+        applied = self.book.log_index
+        if applied > was and applied not in self.retained_entries:
             self.clear_retained_entries()
 
-    def clear_retained_entries(self):
-        self.retained_entries, self.retained_bytes = {}, 0
+    def clear_retained_entries(self) -> None:
+        """Retain no entry."""
+        self.retained_entries: dict[int, log.LogEntry] = {}
+        self.retained_bytes = 0
--- a/basaltport/consensus/leaving.py
+++ b/basaltport/consensus/leaving.py
@@ -17,7 +17,7 @@
 
 
 def spare(voters: int, live: int) -> int:
-    """How many of the live voters may be lost while a majority of all voters remains; negative without one."""
+    """How many of the live voters may be lost while a majority of all remains; negative without one."""
     return live - voters // 2 - 1
 
 
--- a/basaltport/consensus/node.py
+++ b/basaltport/consensus/node.py
@@ -15,7 +15,9 @@
 import basaltport.consensus.read_index as read_index
 import basaltport.consensus.replication as replication
 import basaltport.consensus.snapshot_transfer as snapshot_transfer
+import basaltport.consensus.state_machine as state_machine
 import basaltport.consensus.voter as voter
+import basaltport.consensus.voting_policy as voting_policy
 import basaltport.identifiers as identifiers
 import basaltport.member as member
 
@@ -29,12 +31,23 @@
     follower.FollowerMixin,
     member.Member,
 ):
-    """A member that votes, holds the log and follows whoever leads. `policy`: as its house agrees; `held`:
-    what its disk had; `promised`: the highest term that is on it; `began`: when the process began."""
+    """A member that votes, holds the log and follows whoever leads. `policy`: as its cluster agrees;
+    `held`: what its disk had; `current_term`: the highest term that is on it; `began`: when the process
+    began, in milliseconds of `now`."""
 
     leading = False
 
-    def __init__(self, me, seed, now, policy, held=None, current_term=NO_TERM, began=None):
+    def __init__(
+        self,
+        me: member.Me,
+        seed: int,
+        now: identifiers.Millis,
+        policy: voting_policy.VotingPolicy,
+        held: state_machine.ReplicatedState | None = None,
+        current_term: identifiers.Term = NO_TERM,
+        began: identifiers.Millis | None = None,
+    ) -> None:
+        """Begin as a follower of nobody, with what the disk had; `seed` is that of all chance."""
         member.Member.__init__(self, me, seed, now)
         self.policy = policy
         self.listeners = listeners.Listeners()
@@ -63,7 +76,17 @@
 
     durable = True
 
-    def __init__(self, me, seed, now, policy, held=None, current_term=NO_TERM, began=None):
+    def __init__(
+        self,
+        me: member.Me,
+        seed: int,
+        now: identifiers.Millis,
+        policy: voting_policy.VotingPolicy,
+        held: state_machine.ReplicatedState | None = None,
+        current_term: identifiers.Term = NO_TERM,
+        began: identifiers.Millis | None = None,
+    ) -> None:
+        """As of `FollowerNode`; it does not lead until it is elected."""
         FollowerNode.__init__(self, me, seed, now, policy, held, current_term, began)
         self.clear_leadership()
         self.listeners.log_synced.append(self.own_log_synced)
--- a/basaltport/consensus/replication.py
+++ b/basaltport/consensus/replication.py
@@ -1,28 +1,35 @@
 """The leader's replication: heartbeats with what each member lacks, their acknowledgements, and what is
 committed."""
 
+import collections.abc
 import dataclasses
+import typing
 
-import basaltport.consensus.book as book
 import basaltport.consensus.follower as follower
+import basaltport.consensus.log as log
 import basaltport.consensus.quorum as quorum
 import basaltport.consensus.sizes as sizes
+import basaltport.consensus.state_machine as state_machine
 import basaltport.identifiers as identifiers
+import basaltport.member as member
 import basaltport.messages as messages
 
-RESEND = 250
+RESEND_MS = 250
+"""How long after it was sent what a member lacks may still be under way, and is not sent again."""
 SLOWEST_LINK = 300
 """Bytes a millisecond that any link carries, with room: half of 5 Mbit/s."""
-LARGE = 1 << 20
-AT_ONCE = 4
-REMEMBERED_BEATS = 100
-NEVER = -(10**9)
+LARGE_BYTES = 1 << 20
+LARGE_TRANSFERS_MAX = 4
+REMEMBERED_HEARTBEATS = 100
+NEVER_MS = -(10**9)
+NOTHING_SYNCED = -1
+"""Stands for the last log index of a member that has not acknowledged any entry."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Transfer:
-    """What was sent to a seat and is not acknowledged: since which heartbeat and when, how many bytes, the
-    agreed serial that the first of it brings, and the serial up to which it reaches."""
+    """What was sent to a member and is not acknowledged: since which heartbeat and when (ms), how many bytes,
+    the agreed index that the first of it brings, and the index up to which it reaches."""
 
     beat: int
     at: int
@@ -30,202 +37,318 @@
     commit: int
     upto: int
 
-    def until(self):
-        """When it must have arrived, over the slowest link."""
-        return self.at + RESEND + self.size // SLOWEST_LINK
+    def until(self) -> int:
+        """When it must have arrived over the slowest link, in milliseconds."""
+        return self.at + RESEND_MS + self.size // SLOWEST_LINK
 
 
-class ReplicationMixin:
-    """`match`: up to where each member has synced this leader's log; `acks`: when each last acknowledged."""
+class Payload(typing.NamedTuple):
+    """What a heartbeat brings: entries, or a copy, and term and index of the entry before them."""
 
-    def replication_start(self, got):
-        self.match = {}
-        self.sent = {}
-        self.transfers_in_flight = {}
-        self.acked_at_ms = dict.fromkeys(got, self.now)
-        self.beats = {}
-        self.latest_acks = {}
-        self.heartbeat_sent_at_ms = NEVER
+    entries: list[log.LogEntry]
+    copy: state_machine.ReplicatedState | None
+    previous_term: identifiers.Term
+    previous_index: identifiers.LogIndex
+
+
+class EntriesAfter(typing.NamedTuple):
+    """Entries behind the one of `previous_index`; None for `entries` where only a copy will do."""
+
+    entries: list[log.LogEntry] | None
+    previous_term: identifiers.Term
+    previous_index: identifiers.LogIndex
+
+
+class ReplicationNeeds(typing.Protocol):
+    """What `ReplicationMixin` needs of the node it is part of."""
+
+    me: member.Me
+    now: identifiers.Millis
+    book: state_machine.ClusterState
+    tip_book: state_machine.ClusterState
+    tail: list[log.LogEntry]
+    retained_entries: dict[int, log.LogEntry]
+    current_term: identifiers.Term
+    synced_term: identifiers.Term
+    synced_head: follower.Head
+    learners: dict[str, dict[str, typing.Any]]
+    leading: bool
+    top: int
+    lease_started_at_ms: int
+
+    def send(self, addr: str, msg: object) -> None:
+        """Send a message to an address."""
+
+    def head(self) -> follower.Head:
+        """Term and index of the last entry held."""
+
+    def copy(self) -> state_machine.ReplicatedState:
+        """All that this member holds."""
+
+    def advance(self, commit: int, commit_term: identifiers.Term) -> None:
+        """Apply entries up to the index `commit`."""
+
+    def address_of(self, seat: str) -> str | None:
+        """Where a member was last heard of."""
+
+    def learn(self) -> None:
+        """Feed the log to members that do not vote yet."""
+
+    def ack_to_return(self, member_id: str, record: typing.Any) -> int:
+        """The acknowledgement of a member that a heartbeat gives back to it."""
+
+    def note_return(self, member_id: str) -> None:
+        """A member that said it leaves may have come back."""
+
+    def record_acked_heartbeat(self, member_id: str, number: int) -> None:
+        """A member acknowledged the heartbeat of this number."""
+
+    def renew_lease(self) -> None:
+        """Take the leader's lease on from the heartbeats that a majority acknowledged."""
+
+    def step_down(self, why: str) -> None:
+        """Lead no more."""
+
+    def note_committed(self) -> None:
+        """More is committed: note when for the changes that wait for it."""
+
+    def settle(self) -> None:
+        """Answer changes that are done."""
+
+
+if typing.TYPE_CHECKING:
+    Needs = ReplicationNeeds
+else:
+    Needs = object
+
+
+class ReplicationMixin(Needs):
+    """`match`: up to where each member has synced this leader's log; `acked_at_ms`: when each last
+    acknowledged; `sent`: when each was last sent something, and up to which index; `needs`: members that need
+    a copy; `latest_acks`: see `follower_lease.LatestAcks`."""
+
+    def replication_start(self, voters: collections.abc.Iterable[str]) -> None:
+        """Begin to lead: nothing is known of the others but that `voters`, by id, answered just now."""
+        self.match: dict[str, int] = {}
+        self.sent: dict[str, tuple[int, int]] = {}
+        self.transfers_in_flight: dict[str, Transfer] = {}
+        self.acked_at_ms: dict[str, int] = dict.fromkeys(voters, self.now)
+        self.beats: dict[int, int] = {}
+        self.latest_acks: dict[str, tuple[int, int, int]] = {}
+        self.heartbeat_sent_at_ms: int = NEVER_MS
         self.n = 0
-        self.needs = set()
+        self.needs: set[str] = set()
 
     # heartbeats
 
-    def beat(self):
-        """Not to a seat at whose address another process runs by now."""
+    def beat(self) -> None:
+        """Send a heartbeat to all voters and learners, but not to a voter at whose address another process
+        runs by now."""
         self.learn()
         self.heartbeat_sent_at_ms = self.now
         self.n += 1
         self.beats[self.n] = self.now
-        self.beats.pop(self.n - REMEMBERED_BEATS, None)
-        taken = {r["addr"] for r in self.learners.values()}
-        for s, r in quorum.voters(self.tip_book).items():
-            if s != self.me.seat and r["addr"] not in taken:
-                self.send_heartbeat_to(s, r)
-        for s, r in self.learners.items():
-            self.send_heartbeat_to(s, r)
+        self.beats.pop(self.n - REMEMBERED_HEARTBEATS, None)
+        taken = {row["addr"] for row in self.learners.values()}
+        for member_id, record in quorum.voters(self.tip_book).items():
+            if member_id != self.me.seat and record.address not in taken:
+                self.send_heartbeat_to(member_id, record)
+        for member_id, row in self.learners.items():
+            self.send_heartbeat_to(member_id, row)
         self.renew_lease()
 
-    def send_heartbeat_to(self, s, r):
-        es, copy, pg, ps = self.payload_for(s)
-        echo = self.ack_to_return(s, r)
-        age = identifiers.Millis(self.now - self.lease_started_at_ms)
-        b = messages.Heartbeat(
+    def send_heartbeat_to(self, member_id: str, record: typing.Any) -> None:
+        """Send a member a heartbeat with what it lacks. `record`: its `MemberRecord`, or a learner's row."""
+        entries, copy, previous_term, previous_index = self.payload_for(member_id)
+        acknowledged = self.ack_to_return(member_id, record)
+        heartbeat = messages.Heartbeat(
             self.current_term,
             self.me.seat,
             self.me.name,
             self.me.addr,
             self.n,
-            book.serial(self.book),
-            book.gen(self.book),
-            pg,
-            ps,
-            es,
+            self.book.log_index,
+            self.book.term,
+            previous_term,
+            previous_index,
+            entries,
             copy,
-            age,
-            echo,
+            identifiers.Millis(self.now - self.lease_started_at_ms),
+            acknowledged,
         )
-        self.send(self.address_of(s) or r["addr"], b)
+        self.send(self.address_of(member_id) or record["addr"], heartbeat)
 
-    def payload_for(self, s):
-        """What a seat lacks: entries with what stands before them, or a copy; large ones a few at a time."""
+    def payload_for(self, member_id: str) -> Payload:
+        """What a member lacks: entries with the one before them, or a copy; large ones a few at a time."""
         head = self.head()
-        at, upto = self.sent.get(s, (NEVER, 0))
-        m = self.match.get(s)
-        if s in self.needs:
-            es, copy, pg, ps = [], self.copy(), *head
-        elif m is None or m < head[1]:
-            fresh = self.now - at < RESEND or self.is_in_flight(s)
-            if fresh and upto >= head[1]:
-                return [], None, *head
-            base = m if m is not None else head[1] - 1
-            es, pg, ps = self.entries_after(max(base, upto) if fresh else base)
-            copy = self.copy() if es is None else None
-        else:
-            return [], None, *head
-        size = sizes.copy_size(copy) if copy else sum(map(sizes.entry_size, es))
-        if size > LARGE and not self.is_in_flight(s) and self.large_transfers() >= AT_ONCE:
-            return [], None, *head
-        self.needs.discard(s)
-        self.sent[s] = (self.now, head[1])
-        self.record_transfer(s, size, bool(copy))
-        return es or [], copy, pg, ps
-
-    def entries_after(self, s):
-        """Entries after serial s with what stands before them, or None where only a copy will do."""
-        have = {book.serial(self.book): book.gen(self.book)}
-        have.update({k: book.gen_of(e) for k, e in self.retained_entries.items()})
-        have.update({e["s"]: book.gen_of(e) for e in self.tail})
-        if s not in have:
-            return None, *self.head()
-        es = [self.retained_entries[k] for k in sorted(self.retained_entries) if k > s] + [
-            e for e in self.tail if e["s"] > s
+        nothing = Payload([], None, *head)
+        payload = self.missing_for(member_id, head)
+        if payload is None:
+            return nothing
+        copy = payload.copy
+        size = sizes.copy_size(copy) if copy else sum(map(sizes.entry_size, payload.entries))
+        is_large = size > LARGE_BYTES and not self.is_in_flight(member_id)
+        if is_large and self.large_transfers() >= LARGE_TRANSFERS_MAX:
+            return nothing
+        self.needs.discard(member_id)
+        self.sent[member_id] = (self.now, head[1])
+        self.record_transfer(member_id, size, bool(copy))
+        return payload
+
+    def missing_for(self, member_id: str, head: follower.Head) -> Payload | None:
+        """What a member lacks of the log up to `head` and is not under way to it; None for nothing."""
+        last_index = head[1]
+        if member_id in self.needs:
+            return Payload([], self.copy(), *head)
+        synced = self.match.get(member_id)
+        if synced is not None and synced >= last_index:
+            return None
+        sent_at_ms, sent_index = self.sent.get(member_id, (NEVER_MS, 0))
+        is_recent = self.now - sent_at_ms < RESEND_MS or self.is_in_flight(member_id)
+        if is_recent and sent_index >= last_index:
+            return None
+        base = synced if synced is not None else last_index - 1
+        after = self.entries_after(max(base, sent_index) if is_recent else base)
+        if after.entries is None:
+            return Payload([], self.copy(), after.previous_term, after.previous_index)
+        return Payload(after.entries, None, after.previous_term, after.previous_index)
+
+    def entries_after(self, log_index: int) -> EntriesAfter:
+        """Entries behind the one of `log_index` with what stands before them, or None where only a copy will
+        do."""
+        terms = {int(self.book.log_index): self.book.term}
+        terms.update({index: entry.term for index, entry in self.retained_entries.items()})
+        terms.update({entry.index: entry.term for entry in self.tail})
+        if log_index not in terms:
+            return EntriesAfter(None, *self.head())
+        retained = [
+            self.retained_entries[index] for index in sorted(self.retained_entries) if index > log_index
         ]
+        entries = retained + [entry for entry in self.tail if entry.index > log_index]
         # M6: entries that leave a gap are not sent.
-        if not book.contiguous(es, s):
-            return None, *self.head()
-        return es, have[s], identifiers.LogIndex(s)
+        if not log.are_contiguous(entries, log_index):
+            return EntriesAfter(None, *self.head())
+        return EntriesAfter(entries, terms[log_index], identifiers.LogIndex(log_index))
 
     # transfers in flight
 
-    def record_transfer(self, s, size, whole=False):
-        """What is sent while more is on its way comes behind it; what is whole makes up for all before."""
+    def record_transfer(self, member_id: str, size: int, whole: bool = False) -> None:
+        """Note `size` bytes sent to a member. What is sent while more is on its way comes behind it; what is
+        whole makes up for all before."""
         first = Transfer(self.n, self.now, 0, self.book.log_index, 0)
-        if self.is_in_flight(s) and not whole:
-            first = self.transfers_in_flight[s]
-        self.transfers_in_flight[s] = dataclasses.replace(first, size=first.size + size, upto=self.head()[1])
+        if self.is_in_flight(member_id) and not whole:
+            first = self.transfers_in_flight[member_id]
+        transfer = dataclasses.replace(first, size=first.size + size, upto=self.head()[1])
+        self.transfers_in_flight[member_id] = transfer
 
-    def is_in_flight(self, s):
-        """Whether what was sent to a seat last may still arrive: no later heartbeat was answered without it,
-        and a slow link would not be done with it yet."""
-        t = self.transfers_in_flight.get(s)
-        return t is not None and self.now < t.until()
+    def is_in_flight(self, member_id: str) -> bool:
+        """Whether what was sent to a member last may still arrive: no later heartbeat was answered without
+        it, and a slow link would not be done with it yet."""
+        transfer = self.transfers_in_flight.get(member_id)
+        return transfer is not None and self.now < transfer.until()
 
-    def finish_transfer(self, m):
+    def finish_transfer(self, ack: messages.HeartbeatAck) -> None:
         """Of an acknowledgement: heartbeats come in the order they were sent, so that one answered after what
         was sent with an earlier one tells whether that has arrived."""
-        t = self.transfers_in_flight.get(m.seat)
-        if t is None:
+        transfer = self.transfers_in_flight.get(ack.seat)
+        if transfer is None:
             return
-        if self.match.get(m.seat, -1) >= t.upto or m.n > t.beat and m.applied < t.commit:
-            del self.transfers_in_flight[m.seat]
+        has_arrived = self.match.get(ack.seat, NOTHING_SYNCED) >= transfer.upto
+        was_lost = ack.n > transfer.beat and ack.applied < transfer.commit
+        if has_arrived or was_lost:
+            del self.transfers_in_flight[ack.seat]
 
-    def was_sent_later(self, m):
+    def was_sent_later(self, ack: messages.HeartbeatAck) -> bool:
         """Whether what an acknowledgement says is lacking was sent with a later heartbeat."""
-        if self.is_in_flight(m.seat) and m.n < self.transfers_in_flight[m.seat].beat:
+        if self.is_in_flight(ack.seat) and ack.n < self.transfers_in_flight[ack.seat].beat:
             return True
-        self.transfers_in_flight.pop(m.seat, None)
+        self.transfers_in_flight.pop(ack.seat, None)
         return False
 
-    def large_transfers(self):
+    def large_transfers(self) -> int:
         """How many large transfers may be under way."""
-        return sum(t.size > LARGE and self.is_in_flight(s) for s, t in self.transfers_in_flight.items())
+        return sum(
+            transfer.size > LARGE_BYTES and self.is_in_flight(member_id)
+            for member_id, transfer in self.transfers_in_flight.items()
+        )
 
     # acknowledgements
 
-    def hear_heartbeat_ack(self, src, m):
+    def hear_heartbeat_ack(self, src: str, ack: messages.HeartbeatAck) -> None:
+        """A member acknowledges a heartbeat, or refuses it since it knows a later term."""
         if not self.leading:
             return
-        if not m.ok:
-            if m.current_term > self.current_term:
-                self.step_down(f"generation {m.current_term.text()}")
-                self.top = max(self.top, m.current_term.count)
+        if not ack.ok:
+            if ack.current_term > self.current_term:
+                self.step_down(f"generation {ack.current_term.text()}")
+                self.top: int = max(self.top, ack.current_term.count)
             return
         # M1: only members of this leader's term count.
-        if m.current_term == self.current_term:
-            self.take_ack(m)
-        self.note_return(m.seat)
-        if m.need and m.seat in self.needs and m.seat in self.learners:
-            self.send_heartbeat_to(m.seat, self.learners[m.seat])
-
-    def take_ack(self, m):
-        self.acked_at_ms[m.seat] = self.now
-        self.record_acked_heartbeat(m.seat, m.n)
-        if m.need:
-            self.resend_to(m)
+        if ack.current_term == self.current_term:
+            self.take_ack(ack)
+        self.note_return(ack.seat)
+        if ack.need and ack.seat in self.needs and ack.seat in self.learners:
+            self.send_heartbeat_to(ack.seat, self.learners[ack.seat])
+
+    def take_ack(self, ack: messages.HeartbeatAck) -> None:
+        """Note how far a member has synced, and commit what a majority has by now."""
+        self.acked_at_ms[ack.seat] = self.now
+        self.record_acked_heartbeat(ack.seat, ack.n)
+        if ack.need:
+            self.resend_to(ack)
             return
-        es, g, s = self.entries_after(m.serial)
+        after = self.entries_after(ack.serial)
         # M1: what it has synced counts only as far as it is this leader's log.
-        if es is not None and g == m.hgen:
-            self.match[m.seat] = max(m.serial, self.match.get(m.seat, 0))
-        self.finish_transfer(m)
-        e = self.latest_acks.get(m.seat)
-        if e is None or m.k > e[0] or m.k >> follower.LIFE != e[0] >> follower.LIFE:
-            self.latest_acks[m.seat] = (m.k, self.now, m.applied)
+        if after.entries is not None and after.previous_term == ack.hgen:
+            self.match[ack.seat] = max(ack.serial, self.match.get(ack.seat, 0))
+        self.finish_transfer(ack)
+        self.note_latest_ack(ack)
         self.count()
         self.settle()
 
-    def resend_to(self, m):
-        """A member says that it can't join on what it was sent."""
-        if self.was_sent_later(m):
+    def note_latest_ack(self, ack: messages.HeartbeatAck) -> None:
+        """Keep an acknowledgement unless a later one of the same incarnation of the member is known."""
+        latest = self.latest_acks.get(ack.seat)
+        if latest is None or ack.k > latest[0] or ack.k >> follower.LIFE != latest[0] >> follower.LIFE:
+            self.latest_acks[ack.seat] = (ack.k, self.now, ack.applied)
+
+    def resend_to(self, ack: messages.HeartbeatAck) -> None:
+        """A member says that it can't join on what it was sent: it gets a copy."""
+        if self.was_sent_later(ack):
             return
-        self.needs.add(m.seat)
-        r = self.tip_book.members.get(m.seat)
-        if r:
-            self.send_heartbeat_to(m.seat, r)
+        self.needs.add(ack.seat)
+        record = self.tip_book.members.get(ack.seat)
+        if record:
+            self.send_heartbeat_to(ack.seat, record)
 
     # commitment
 
-    def own_log_synced(self):
+    def own_log_synced(self) -> None:
+        """This leader's own entries are on its disk: they count for agreement."""
         if self.leading and self.synced_term == self.current_term:
             self.match[self.me.seat] = self.synced_head[1]
             self.count()
             self.settle()
 
-    def count(self):
-        """Agreed: held by most seats, synced by most disk members, and of this leader's term."""
-        t = self.tip_book
-        was = self.book.log_index
-        for e in reversed(self.tail):
+    def count(self) -> None:
+        """Commit the last entry that is held by most voters, synced by most disk members, and of this
+        leader's term, with all before it."""
+        index_before = self.book.log_index
+        for entry in reversed(self.tail):
             # M3: an entry of an older term is committed by one of this leader's term behind it.
-            if book.gen_of(e) != self.current_term:
+            if entry.term != self.current_term:
+                break
+            if self.is_held_by_majorities(entry.index):
+                self.advance(entry.index, entry.term)
                 break
-            have = {s for s, m in self.match.items() if m >= e["s"]}
-            if not quorum.has_majority(t, have) or not quorum.is_majority(have, set(t["ledgers"])):
-                continue
-            self.advance(e["s"], book.gen_of(e))
-            break
-        if self.book.log_index == was:
+        if self.book.log_index == index_before:
             return
         self.note_committed()
         self.beat()
+
+    def is_held_by_majorities(self, log_index: int) -> bool:
+        """Whether most voters and most disk members have synced the log up to this index."""
+        holders = {member_id for member_id, synced in self.match.items() if synced >= log_index}
+        if not quorum.has_majority(self.tip_book, holders):
+            return False
+        return quorum.is_majority(holders, set(self.tip_book.disk_members))
--- a/basaltport/consensus/snapshot_transfer.py
+++ b/basaltport/consensus/snapshot_transfer.py
@@ -66,7 +66,8 @@
         index_before = self.book.log_index
         # M6: what is in force never goes back.
         if copy.cluster_state.log_index >= index_before:
-            self.book, self.tail = copy.cluster_state, list(copy.uncommitted)
+            self.book: state_machine.ClusterState = copy.cluster_state
+            self.tail = list(copy.uncommitted)
             self.write([], whole=self.copy())
             self.state_applied()
             self.retained_behind(index_before)
