--- a/basaltport/consensus/follower_lease.py
+++ b/basaltport/consensus/follower_lease.py
@@ -3,6 +3,7 @@
 import collections.abc
 import typing
 
+import basaltport.consensus.log as log
 import basaltport.consensus.state_machine as state_machine
 import basaltport.consensus.voting_policy as voting_policy
 import basaltport.identifiers as identifiers
@@ -14,6 +15,8 @@
 NO_ACK = 0
 """Stands in a heartbeat for no acknowledgement that is given back."""
 
+MemberOrRow = log.MemberRecord | dict[str, typing.Any]
+"""A voter as the log has it, or a learner as it said hello."""
 LatestAcks = dict[str, tuple[int, int, int]]
 """By member id: number of its latest acknowledgement, when that came, and the log index applied by then."""
 
@@ -93,7 +96,7 @@
     """Which acknowledgement a heartbeat of the older path gives back, by which a follower's lease is
     renewed."""
 
-    def ack_to_return(self, member_id: str, record: typing.Any) -> int:
+    def ack_to_return(self, member_id: str, record: MemberOrRow) -> int:
         """The number of a query node's latest acknowledgement, NO_ACK where its lease is not renewed."""
         if record["role"] != state_machine.ROLE_OF_QUERY_NODES:
             return NO_ACK
--- a/basaltport/consensus/membership.py
+++ b/basaltport/consensus/membership.py
@@ -155,7 +155,7 @@
 
     def may_join_beside(self, learner: str, members: Members) -> bool:
         """Whether no member may be lost. Beside an odd number a majority takes one more: there the new one
-        has to be known for as long as a lost member may go unnoticed, or the loss of both could not be borne."""
+        has to be known for as long as a lost member may go unnoticed, or both could not be lost."""
         if any(self.quiet(member_id) > timing.RESPONSIVE for member_id in members):
             return False
         return len(members) % 2 == 0 or self.now - self.learning_since[learner] >= timing.SILENT
--- a/basaltport/consensus/replication.py
+++ b/basaltport/consensus/replication.py
@@ -6,6 +6,7 @@
 import typing
 
 import basaltport.consensus.follower as follower
+import basaltport.consensus.follower_lease as follower_lease
 import basaltport.consensus.log as log
 import basaltport.consensus.quorum as quorum
 import basaltport.consensus.sizes as sizes
@@ -94,7 +95,7 @@
     def learn(self) -> None:
         """Feed the log to members that do not vote yet."""
 
-    def ack_to_return(self, member_id: str, record: typing.Any) -> int:
+    def ack_to_return(self, member_id: str, record: follower_lease.MemberOrRow) -> int:
         """The acknowledgement of a member that a heartbeat gives back to it."""
 
     def note_return(self, member_id: str) -> None:
@@ -134,7 +135,7 @@
         self.transfers_in_flight: dict[str, Transfer] = {}
         self.acked_at_ms: dict[str, int] = dict.fromkeys(voters, self.now)
         self.beats: dict[int, int] = {}
-        self.latest_acks: dict[str, tuple[int, int, int]] = {}
+        self.latest_acks: follower_lease.LatestAcks = {}
         self.heartbeat_sent_at_ms: int = NEVER_MS
         self.n = 0
         self.needs: set[str] = set()
@@ -157,7 +158,7 @@
             self.send_heartbeat_to(member_id, row)
         self.renew_lease()
 
-    def send_heartbeat_to(self, member_id: str, record: typing.Any) -> None:
+    def send_heartbeat_to(self, member_id: str, record: follower_lease.MemberOrRow) -> None:
         """Send a member a heartbeat with what it lacks. `record`: its `MemberRecord`, or a learner's row."""
         entries, copy, previous_term, previous_index = self.payload_for(member_id)
         acknowledged = self.ack_to_return(member_id, record)
