--- a/basaltport/consensus/leadership.py
+++ b/basaltport/consensus/leadership.py
@@ -48,7 +48,7 @@
     candidacy_due_at_ms: int
     lease_started_at_ms: int
     heartbeat_sent_at_ms: int
-    acked_at_ms: dict[str, typing.Any]
+    acked_at_ms: dict[str, int]
     stalled: dict[int, tuple[identifiers.Millis, int, int]]
 
     def head(self) -> tuple[identifiers.Term, identifiers.LogIndex]:
@@ -107,11 +107,13 @@
     def lease_start(self) -> None:
         """Begin the leader's lease."""
 
-    def follower_leases_start(self, swap: collections.abc.Iterable[candidacies.Replacement], /) -> None:
+    def follower_leases_start(
+        self, replacements: collections.abc.Sequence[collections.abc.Sequence[typing.Any]]
+    ) -> None:
         """Take over the leases that followers may hold."""
 
-    def replication_start(self, got: candidacies.Votes, /) -> None:
-        """Begin to replicate."""
+    def replication_start(self, voters: collections.abc.Iterable[str]) -> None:
+        """Begin to replicate, where `voters` answered just now."""
 
     def beat(self) -> None:
         """Send heartbeats."""
