--- a/tests/test_adr_0041.py
+++ b/tests/cold_start/test_adr_0041.py
@@ -4,7 +4,7 @@
 import basaltport.query_api.events as query_events
 import basaltport.identifiers as identifiers
 import basaltport.cold_start.limits as limits
-import tests.node as node
+import tests.support.node as node
 
 
 def test_a_warm_model_is_sent_to_at_once_without_asking():
--- a/tests/test_adr_0041_routes.py
+++ b/tests/cold_start/test_adr_0041_routes.py
@@ -5,8 +5,8 @@
 import basaltport.cold_start.decision as decision
 import basaltport.cold_start.limits as limits
 import basaltport.proxy.events as events
-import tests.proxy_stand as stand
-import tests.test_proxy as proxy_tests
+import tests.support.proxy_stand as stand
+import tests.proxy.test_proxy as proxy_tests
 
 NOBODY_HOLDS_IT = proxy_tests.row("a", models=())
 HOLDS_IT = proxy_tests.row("a")
--- a/tests/test_waiting.py
+++ b/tests/cold_start/test_waiting.py
@@ -3,7 +3,7 @@
 import basaltport.simulation.query_api.world.rows as rows
 import basaltport.simulation.query_api.world.stage as stage
 import basaltport.simulation.trace as trace
-import tests.node as node
+import tests.support.node as node
 
 
 def _codes(out):
--- /dev/null
+++ b/tests/configuration/__init__.py
@@ -0,0 +1,1 @@
+"""What an operator configures: read, checked, compiled."""
--- a/tests/test_configuration.py
+++ b/tests/configuration/test_configuration.py
@@ -11,7 +11,7 @@
 import basaltport.configuration.read as read
 import basaltport.configuration.rules as rules
 
-EXAMPLES = pathlib.Path(__file__).parent.parent / "basaltport" / "examples"
+EXAMPLES = pathlib.Path(__file__).parent.parent.parent / "basaltport" / "examples"
 
 
 def load(name):
--- /dev/null
+++ b/tests/consensus/__init__.py
@@ -0,0 +1,1 @@
+"""Agreement among members: election, replication, membership, the disk."""
--- a/tests/test_crash.py
+++ b/tests/consensus/test_crash.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-import tests.crash_scripts as scripts
-import tests.crash_states as crash_states
+import tests.support.crash_scripts as scripts
+import tests.support.crash_states as crash_states
 
 SCRIPTS = [scripts.first_start, scripts.appends, scripts.switches]
 AGAIN = [
--- a/tests/test_crash_mutations.py
+++ b/tests/consensus/test_crash_mutations.py
@@ -12,7 +12,7 @@
 import basaltport.consensus.storage.record_framing as record_framing
 import basaltport.consensus.storage.snapshot_store as snapshot_store
 import basaltport.consensus.storage.write_ahead_log as write_ahead_log
-import tests.crash_scripts as scripts
+import tests.support.crash_scripts as scripts
 
 Log = write_ahead_log.WriteAheadLog
 Disk = member_disk.Disk
--- a/tests/test_crash_random.py
+++ b/tests/consensus/test_crash_random.py
@@ -3,8 +3,8 @@
 import hypothesis
 import hypothesis.strategies as st
 
-import tests.crash_files as crash_files
-import tests.crash_states as crash_states
+import tests.support.crash_files as crash_files
+import tests.support.crash_states as crash_states
 
 STEPS = ("promise", "entries", "switch", "mixed", "refuse", "kill", "kill early", "power", "power")
 MOMENTS = (
--- a/tests/test_log_gaps.py
+++ b/tests/consensus/test_log_gaps.py
@@ -10,7 +10,7 @@
 import basaltport.errors as errors
 import basaltport.identifiers as identifiers
 import basaltport.messages as messages
-import tests.controllers as controllers
+import tests.support.controllers as controllers
 
 
 def entry(leader, index):
--- a/tests/test_membership.py
+++ b/tests/consensus/test_membership.py
@@ -17,7 +17,7 @@
 import basaltport.member as member
 import basaltport.messages as messages
 import basaltport.started as started
-import tests.controllers as controllers
+import tests.support.controllers as controllers
 
 others = controllers.others
 
@@ -310,7 +310,7 @@
 def test_programs_note_when_they_began_before_they_import_the_rest():
     began = identifiers.Millis(started.AT_MS)
     assert 0 < began <= identifiers.steady()
-    text = (pathlib.Path(__file__).parent.parent / "platform" / "run.py").read_text()
+    text = (pathlib.Path(__file__).parent.parent.parent / "platform" / "run.py").read_text()
     assert text.index("import basaltport.started") < text.index("import asyncio")
 
 
--- a/tests/test_stored_forms.py
+++ b/tests/consensus/test_stored_forms.py
@@ -17,7 +17,7 @@
 import basaltport.identifiers as identifiers
 import basaltport.messages as messages
 import basaltport.query_api.messages as query_messages
-import tests.stored_forms as stored_forms
+import tests.support.stored_forms as stored_forms
 
 FOUNDERS = ("10.0.0.1:7000", "10.0.0.2:7000")
 OWN = member_identity.Identity("first-1", FOUNDERS)
--- a/tests/test_transfers.py
+++ b/tests/consensus/test_transfers.py
@@ -5,7 +5,7 @@
 import basaltport.consensus.replication as replication
 import basaltport.events as events
 import basaltport.messages as messages
-import tests.controllers as controllers
+import tests.support.controllers as controllers
 
 
 def led():
--- a/tests/test_virtual_disk.py
+++ b/tests/consensus/test_virtual_disk.py
@@ -5,7 +5,7 @@
 import basaltport.consensus.storage.snapshot_store as snapshot_store
 import basaltport.identifiers as identifiers
 import basaltport.simulation.virtual_disk as virtual_disk
-import tests.crash_states as crash_states
+import tests.support.crash_states as crash_states
 
 DRAWS = 400
 WHOLE = crash_states.Model(9, (), 2).state()
--- /dev/null
+++ b/tests/controller/__init__.py
@@ -0,0 +1,1 @@
+"""The controller: operators' requests, shard ownership, agreement as controllers run it."""
--- a/tests/test_control_safety.py
+++ b/tests/controller/test_control_safety.py
@@ -3,9 +3,9 @@
 import pathlib
 import re
 
-ROOT = pathlib.Path(__file__).parent.parent
+ROOT = pathlib.Path(__file__).parent.parent.parent
 PAGE = (ROOT / "docs" / "control-safety.md").read_text()
-TESTS = "\n".join(f.read_text() for f in (ROOT / "tests").glob("test_*.py"))
+TESTS = "\n".join(f.read_text() for f in (ROOT / "tests").rglob("test_*.py"))
 OPERATIONS = 10
 STATES = 10
 
--- a/tests/test_control_trials.py
+++ b/tests/controller/test_control_trials.py
@@ -8,7 +8,7 @@
 import basaltport.controller.node as node
 import basaltport.events as events
 import basaltport.member as member
-import tests.controllers as controllers
+import tests.support.controllers as controllers
 
 WHOLE = bool(os.environ.get("BASALTPORT_WHOLE_TRIALS"))
 
--- a/tests/test_controller_faults.py
+++ b/tests/controller/test_controller_faults.py
@@ -8,7 +8,7 @@
 import basaltport.events as base
 import basaltport.controller.events as events
 import basaltport.messages as messages
-import tests.controllers as controllers
+import tests.support.controllers as controllers
 
 THREE = ("k1", "k2", "k3")
 world, others = controllers.founded, controllers.others
--- a/tests/test_controllers.py
+++ b/tests/controller/test_controllers.py
@@ -3,7 +3,7 @@
 import pytest
 
 import basaltport.events as events
-import tests.controllers as controllers
+import tests.support.controllers as controllers
 
 THREE = ("k1", "k2", "k3")
 
--- a/tests/test_duties.py
+++ b/tests/controller/test_duties.py
@@ -7,8 +7,8 @@
 import basaltport.controller.shard_ownership as shard_ownership
 import basaltport.controller.events as role_events
 import basaltport.placement.effects as effects
-import tests.controller_parts as parts
-import tests.controllers as controllers
+import tests.support.controller_parts as parts
+import tests.support.controllers as controllers
 
 REPLICAS = [f"r{i}" for i in range(30)]
 LEASE = 3000
--- a/tests/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -11,7 +11,7 @@
 import basaltport.fleet.publish as publish
 import basaltport.frames as frames
 import basaltport.identifiers as identifiers
-import tests.controllers as controllers
+import tests.support.controllers as controllers
 
 
 def world(proxies=2, editions=1):
--- a/tests/test_fleet_cli.py
+++ b/tests/fleet/test_fleet_cli.py
@@ -22,11 +22,11 @@
 import basaltport.main as main
 import basaltport.proxy.events as events
 import basaltport.proxy.status_pages as proxy_status
-import tests.fleet_stand as fleet_stand
-import tests.live as live
-import tests.proxy_stand as stand
+import tests.support.fleet_stand as fleet_stand
+import tests.support.live as live
+import tests.support.proxy_stand as stand
 
-ROOT = pathlib.Path(__file__).parent.parent
+ROOT = pathlib.Path(__file__).parent.parent.parent
 sys.path.append(str(ROOT / "platform"))
 operators = importlib.import_module("operators")
 
--- /dev/null
+++ b/tests/model/__init__.py
@@ -0,0 +1,1 @@
+"""The model of the control plane."""
--- a/tests/test_model.py
+++ b/tests/model/test_model.py
@@ -18,7 +18,7 @@
 Operation = linearizability.Operation
 Value = linearizability.Value
 STORIES = random_search.STORIES
-SCHEDULES = pathlib.Path(__file__).parent / "fixtures" / "model_schedules"
+SCHEDULES = pathlib.Path(__file__).parent.parent / "fixtures" / "model_schedules"
 
 
 @pytest.mark.parametrize("members, first", [(m, f) for m in (3, 5) for f in (1, 9, 17, 25)])
--- a/tests/test_model_electorate.py
+++ b/tests/model/test_model_electorate.py
@@ -14,7 +14,7 @@
 import basaltport.model.random_search as random_search
 import basaltport.model.run as run
 import basaltport.model.schedule as schedule
-import tests.model_mutations as mutations
+import tests.support.model_mutations as mutations
 
 SEATS = "abcdefg"
 TERM = identifiers.Term(1, "")
--- a/tests/test_model_mutations.py
+++ b/tests/model/test_model_mutations.py
@@ -4,8 +4,8 @@
 
 import basaltport.model.finding as finding
 import basaltport.model.run as run
-import tests.model_mutations as mutations
-import tests.model_word_mutations as word_mutations
+import tests.support.model_mutations as mutations
+import tests.support.model_word_mutations as word_mutations
 
 MUTATIONS = [*mutations.MUTATIONS, *word_mutations.MUTATIONS]
 
--- /dev/null
+++ b/tests/placement/__init__.py
@@ -0,0 +1,1 @@
+"""Which replica holds which models."""
--- a/tests/test_placement.py
+++ b/tests/placement/test_placement.py
@@ -6,7 +6,7 @@
 import hypothesis.stateful as stateful
 import hypothesis.strategies as st
 
-import tests.placement_fleet as fleet
+import tests.support.placement_fleet as fleet
 
 ZONES, COLD = fleet.ZONES, fleet.COLD
 
--- a/tests/test_command_line.py
+++ b/tests/project/test_command_line.py
@@ -8,7 +8,7 @@
 import basaltport.command_line.former_names as former_names
 import basaltport.main as main
 
-PAGE = pathlib.Path(__file__).parent.parent / "docs" / "operate" / "command-line.md"
+PAGE = pathlib.Path(__file__).parent.parent.parent / "docs" / "operate" / "command-line.md"
 
 
 def call(capsys, *argv):
--- a/tests/test_deploy.py
+++ b/tests/project/test_deploy.py
@@ -5,7 +5,7 @@
 import shlex
 import tomllib
 
-ROOT = pathlib.Path(__file__).parent.parent
+ROOT = pathlib.Path(__file__).parent.parent.parent
 DEPLOY = ROOT / "deploy" / "system.toml"
 PACKAGE_OF_PROGRAM = {"python3": "python3", "pip": "python3-pip", "venv": "python3-venv"}
 ALWAYS_THERE = {"[", "touch"}
--- a/tests/test_docs.py
+++ b/tests/project/test_docs.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-ROOT = pathlib.Path(__file__).parent.parent
+ROOT = pathlib.Path(__file__).parent.parent.parent
 PACKAGE = ROOT / "basaltport"
 PAGES = [*sorted(ROOT.glob("*.md")), *sorted((ROOT / "docs").rglob("*.md"))]
 LINK = re.compile(r"\]\(([^)\s]+)\)")
@@ -20,7 +20,7 @@
 PRODUCT_FILES = {
     path.name for path in ROOT.rglob("*") if path.suffix in (".py", ".md") and ".venv" not in path.parts
 }
-TEST_TEXT = "\n".join(path.read_text() for path in (ROOT / "tests").glob("*.py"))
+TEST_TEXT = "\n".join(path.read_text() for path in (ROOT / "tests").rglob("*.py"))
 
 
 def ids(page):
@@ -30,7 +30,7 @@
 def is_there(name, page):
     """Whether a path is one of the repository, the package, the tests or the page's own folder; a bare name
     may stand for a file anywhere."""
-    for folder in (ROOT, PACKAGE, ROOT / "tests", page.parent):
+    for folder in (ROOT, PACKAGE, ROOT / "tests", *(ROOT / "tests").glob("*/"), page.parent):
         if any(folder.glob(name.rstrip("/"))):
             return True
     return "/" not in name and name in PRODUCT_FILES
@@ -64,7 +64,7 @@
 @pytest.mark.parametrize("page", PAGES, ids=ids)
 def test_every_test_that_is_named_is_there(page):
     named = [name for name in code(page) if TEST.fullmatch(name)]
-    files = {path.stem for path in (ROOT / "tests").glob("test_*.py")}
+    files = {path.stem for path in (ROOT / "tests").rglob("test_*.py")}
     assert [name for name in named if f"def {name}(" not in TEST_TEXT and name not in files] == []
 
 
--- a/tests/test_local_fleet.py
+++ b/tests/project/test_local_fleet.py
@@ -21,7 +21,7 @@
 import basaltport.placement.effects as effects
 import basaltport.simulation.query_api.drills.fleet as fleet
 
-ROOT = pathlib.Path(__file__).parent.parent
+ROOT = pathlib.Path(__file__).parent.parent.parent
 EXAMPLE = ROOT / "basaltport" / "examples" / "routes.json"
 BOUND = 60
 BIRCH = engine.Order("load", "birch")
--- a/tests/test_platform.py
+++ b/tests/project/test_platform.py
@@ -15,7 +15,7 @@
 
 import basaltport.configuration.routes as routes
 
-ROOT = pathlib.Path(__file__).parent.parent
+ROOT = pathlib.Path(__file__).parent.parent.parent
 FOLDER = ROOT / "platform"
 sys.path.append(str(FOLDER))
 names = importlib.import_module("names")
--- a/tests/test_platform_wire.py
+++ b/tests/project/test_platform_wire.py
@@ -11,9 +11,9 @@
 import pytest
 
 import basaltport.placement.effects as effects
-import tests.live as live
+import tests.support.live as live
 
-sys.path.append(str(pathlib.Path(__file__).parent.parent / "platform"))
+sys.path.append(str(pathlib.Path(__file__).parent.parent.parent / "platform"))
 names = importlib.import_module("names")
 operators = importlib.import_module("operators")
 replicas = importlib.import_module("replicas")
--- a/tests/test_style.py
+++ b/tests/project/test_style.py
@@ -7,8 +7,8 @@
 
 import basaltport.log_events as log_events
 
-ROOT = pathlib.Path(__file__).parent.parent
-GLOBS = ("basaltport/**/*.py", "platform/*.py", "tests/*.py")
+ROOT = pathlib.Path(__file__).parent.parent.parent
+GLOBS = ("basaltport/**/*.py", "platform/*.py", "tests/**/*.py")
 FILES = [f for g in GLOBS for f in sorted(ROOT.glob(g))]
 PROJECT = tomllib.loads((ROOT / "pyproject.toml").read_text())["tool"]
 
--- /dev/null
+++ b/tests/proxy/__init__.py
@@ -0,0 +1,1 @@
+"""A request's way through a proxy."""
--- a/tests/test_head_timeout.py
+++ b/tests/proxy/test_head_timeout.py
@@ -4,8 +4,8 @@
 import socket
 import time
 
-import tests.proxy_stand as stand
-import tests.test_proxy_wire as wire
+import tests.support.proxy_stand as stand
+import tests.proxy.test_proxy_wire as wire
 
 HEADER_WAIT_MS = 300
 LONGER_S = 0.6
--- a/tests/test_proxy.py
+++ b/tests/proxy/test_proxy.py
@@ -12,7 +12,7 @@
 import basaltport.proxy.response_stream as response_stream
 import basaltport.proxy.node as node
 import basaltport.proxy.routing as routing
-import tests.proxy_stand as stand
+import tests.support.proxy_stand as stand
 
 
 class Sim:
--- a/tests/test_proxy_budget.py
+++ b/tests/proxy/test_proxy_budget.py
@@ -1,7 +1,7 @@
 """Further arrivals keep within the budget however many requests ask for them at once."""
 
 import basaltport.proxy.events as events
-import tests.test_proxy as proxy_tests
+import tests.proxy.test_proxy as proxy_tests
 
 RATIO, SLACK = 0.2, 4
 REQUESTS = 12
--- a/tests/test_proxy_clients.py
+++ b/tests/proxy/test_proxy_clients.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-import tests.proxy_stand as stand
-import tests.test_proxy_wire as wire
+import tests.support.proxy_stand as stand
+import tests.proxy.test_proxy_wire as wire
 
 W = stand.W
 
--- a/tests/test_proxy_connections.py
+++ b/tests/proxy/test_proxy_connections.py
@@ -9,7 +9,7 @@
 import basaltport.proxy.memory_limit as memory_limit
 import basaltport.proxy.attempt_outcome as attempt_outcome
 import basaltport.proxy.upstream as upstream
-import tests.proxy_stand as stand
+import tests.support.proxy_stand as stand
 
 W = stand.W
 Outcome = attempt_outcome.Outcome
--- a/tests/test_proxy_faults.py
+++ b/tests/proxy/test_proxy_faults.py
@@ -8,8 +8,8 @@
 import basaltport.identifiers as identifiers
 import basaltport.proxy.response as response
 import basaltport.proxy.events as events
-import tests.proxy_stand as stand
-import tests.test_proxy_wire as wire
+import tests.support.proxy_stand as stand
+import tests.proxy.test_proxy_wire as wire
 
 W = stand.W
 
--- a/tests/test_proxy_promises.py
+++ b/tests/proxy/test_proxy_promises.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-import tests.proxy_stand as stand
+import tests.support.proxy_stand as stand
 
 W = stand.W
 
--- a/tests/test_proxy_sequences.py
+++ b/tests/proxy/test_proxy_sequences.py
@@ -7,7 +7,7 @@
 import basaltport.proxy.events as events
 import basaltport.proxy.attempt_outcome as attempt_outcome
 import basaltport.proxy.request as request
-import tests.test_proxy as proxy_tests
+import tests.proxy.test_proxy as proxy_tests
 
 Outcome = attempt_outcome.Outcome
 DEPTH = 4
--- a/tests/test_proxy_wire.py
+++ b/tests/proxy/test_proxy_wire.py
@@ -5,7 +5,7 @@
 import pytest
 
 import basaltport.proxy.upstream as upstream
-import tests.proxy_stand as stand
+import tests.support.proxy_stand as stand
 
 W = stand.W
 
--- a/tests/test_request_bytes.py
+++ b/tests/proxy/test_request_bytes.py
@@ -5,10 +5,10 @@
 import pytest
 
 import basaltport.sockets as sockets
-import tests.request_cases as request_cases
-import tests.request_checks as request_checks
-import tests.request_stand as request_stand
-import tests.request_sweeps as request_sweeps
+import tests.support.request_cases as request_cases
+import tests.support.request_checks as request_checks
+import tests.support.request_stand as request_stand
+import tests.support.request_sweeps as request_sweeps
 
 End = request_stand.End
 Kind = request_stand.Kind
--- a/tests/test_request_bytes_faults.py
+++ b/tests/proxy/test_request_bytes_faults.py
@@ -3,8 +3,8 @@
 import asyncio
 
 
-import tests.proxy_stand as stand
-import tests.request_world as request_world
+import tests.support.proxy_stand as stand
+import tests.support.request_world as request_world
 
 W = stand.W
 
--- a/tests/test_request_bytes_machine.py
+++ b/tests/proxy/test_request_bytes_machine.py
@@ -9,7 +9,7 @@
 import basaltport.proxy.retry_decision as retry_decision
 import basaltport.proxy.request as request
 import basaltport.proxy.node as node
-import tests.request_world as request_world
+import tests.support.request_world as request_world
 
 Happening = request_world.Happening
 PROXIES = 2
--- a/tests/test_request_bytes_mutations.py
+++ b/tests/proxy/test_request_bytes_mutations.py
@@ -13,10 +13,10 @@
 import basaltport.proxy.attempt_outcome as attempt_outcome
 import basaltport.proxy.request as request
 import basaltport.proxy.upstream as upstream
-import tests.request_cases as request_cases
-import tests.request_checks as request_checks
-import tests.request_stand as request_stand
-import tests.request_sweeps as request_sweeps
+import tests.support.request_cases as request_cases
+import tests.support.request_checks as request_checks
+import tests.support.request_stand as request_stand
+import tests.support.request_sweeps as request_sweeps
 
 Check = request_checks.Check
 End = request_stand.End
--- a/tests/test_request_safety.py
+++ b/tests/proxy/test_request_safety.py
@@ -3,7 +3,7 @@
 import pathlib
 import re
 
-ROOT = pathlib.Path(__file__).parent.parent
+ROOT = pathlib.Path(__file__).parent.parent.parent
 PAGE = (ROOT / "docs" / "request-safety.md").read_text()
 STATES = [
     "Waiting",
--- a/tests/test_slow_peers.py
+++ b/tests/proxy/test_slow_peers.py
@@ -2,8 +2,8 @@
 
 import asyncio
 
-import tests.proxy_stand as stand
-import tests.slow_stand as slow_stand
+import tests.support.proxy_stand as stand
+import tests.support.slow_stand as slow_stand
 
 MIB = slow_stand.MIB
 BOUND = slow_stand.MEMORY_MB * MIB // 2
--- /dev/null
+++ b/tests/query_api/__init__.py
@@ -0,0 +1,1 @@
+"""The JSON API of queries."""
--- a/tests/test_clocks.py
+++ b/tests/query_api/test_clocks.py
@@ -8,7 +8,7 @@
 import pytest
 
 import basaltport.identifiers as identifiers
-import tests.live as live
+import tests.support.live as live
 
 pytestmark = pytest.mark.xdist_group("live")
 ROOT = pathlib.Path(live.host.__file__).parent
--- a/tests/test_copies.py
+++ b/tests/query_api/test_copies.py
@@ -8,7 +8,7 @@
 import basaltport.query_api.messages as messages
 import basaltport.simulation.query_api.world.stage as stage
 import basaltport.range_digests as range_digests
-import tests.node as node
+import tests.support.node as node
 
 ROWS = st.dictionaries(st.text("abcdef|", min_size=1, max_size=5), st.integers(0, 3), max_size=30)
 
--- a/tests/test_exchanges.py
+++ b/tests/query_api/test_exchanges.py
@@ -6,7 +6,7 @@
 import pytest
 
 import basaltport.simulation.query_api.world.stage as stage
-import tests.live as live
+import tests.support.live as live
 
 pytestmark = pytest.mark.xdist_group("live")
 
--- a/tests/test_final_word.py
+++ b/tests/query_api/test_final_word.py
@@ -1,7 +1,7 @@
 """What is given up on gets its final answer in the same step, and when to come back."""
 
 import basaltport.events as events
-import tests.node as node
+import tests.support.node as node
 
 
 def _sent(n, **kw):
--- a/tests/test_tools.py
+++ b/tests/query_api/test_tools.py
@@ -10,7 +10,7 @@
 import basaltport.simulation.query_api.planner as planner
 import basaltport.simulation.query_api.world.stage as stage
 
-EXAMPLES = pathlib.Path(__file__).parent.parent / "basaltport" / "examples"
+EXAMPLES = pathlib.Path(__file__).parent.parent.parent / "basaltport" / "examples"
 
 
 def call(capsys, *argv):
--- /dev/null
+++ b/tests/simulation/__init__.py
@@ -0,0 +1,1 @@
+"""The simulators, their checks and scenarios."""
--- a/tests/test_scale.py
+++ b/tests/simulation/test_scale.py
@@ -19,9 +19,9 @@
 import basaltport.scale.part as part
 import basaltport.scale.size as size_
 import basaltport.scale.table as table
-import tests.controller_parts as parts
-import tests.controllers as controllers
-import tests.test_fleet as checks
+import tests.support.controller_parts as parts
+import tests.support.controllers as controllers
+import tests.fleet.test_fleet as checks
 
 SIZE = size_.Size(4, 8, 5, 23)
 FEED = [f for k, f in vars(checks).items() if k.startswith("test_")]
@@ -140,7 +140,7 @@
 
 @pytest.mark.parametrize("args, finding", BAD, ids=lambda x: x[0] if isinstance(x, list) else "")
 def test_bad_flags_start_nothing(args, finding, capsys, monkeypatch):
-    monkeypatch.chdir(pathlib.Path(__file__).parent.parent)
+    monkeypatch.chdir(pathlib.Path(__file__).parent.parent.parent)
     monkeypatch.setattr(fleet.Fleet, "spawn", lambda *a: pytest.fail("something was started"))
     with pytest.raises(SystemExit) as e:
         main.run(["basaltport", "scale", *args])
@@ -153,7 +153,7 @@
         [sys.executable, "-m", "basaltport", "scale-part", "--conf=/nowhere"],
         capture_output=True,
         text=True,
-        cwd=pathlib.Path(__file__).parent.parent,
+        cwd=pathlib.Path(__file__).parent.parent.parent,
     )
     assert got.returncode == 2 and got.stderr.startswith("--conf: ") and "Traceback" not in got.stderr
 
--- /dev/null
+++ b/tests/support/__init__.py
@@ -0,0 +1,1 @@
+"""Stands, worlds and checks that several tests use."""
--- a/tests/controllers.py
+++ b/tests/support/controllers.py
@@ -2,7 +2,7 @@
 
 import basaltport.controller.events as role_events
 import basaltport.simulation.routes.nodes as routenodes
-import tests.controller_parts as parts
+import tests.support.controller_parts as parts
 
 
 class World(routenodes.Nodes):
--- a/tests/crash_scripts.py
+++ b/tests/support/crash_scripts.py
@@ -1,7 +1,7 @@
 """What processes do on the disks that lose power, and the searches over it that the tests make."""
 
-import tests.crash_files as crash_files
-import tests.crash_states as crash_states
+import tests.support.crash_files as crash_files
+import tests.support.crash_states as crash_states
 
 entry, promise = crash_states.entry, crash_states.promise
 
--- a/tests/crash_states.py
+++ b/tests/support/crash_states.py
@@ -17,8 +17,8 @@
 import basaltport.consensus.state_machine as state_machine
 import basaltport.consensus.storage.write_ahead_log as write_ahead_log
 import basaltport.identifiers as identifiers
-import tests.crash_files as crash_files
-import tests.crash_system as crash_system
+import tests.support.crash_files as crash_files
+import tests.support.crash_system as crash_system
 
 FOLDER = "/state"
 FOLDER_OF_FORMAT_1 = {
--- a/tests/crash_system.py
+++ b/tests/support/crash_system.py
@@ -4,7 +4,7 @@
 import posixpath
 import typing
 
-import tests.crash_files as crash_files
+import tests.support.crash_files as crash_files
 
 
 class System:
--- a/tests/fleet_stand.py
+++ b/tests/support/fleet_stand.py
@@ -12,9 +12,9 @@
 import basaltport.member as member
 import basaltport.placement.machine as machine
 import basaltport.proxy.node as node
-import tests.controllers as controllers
-import tests.live as live
-import tests.proxy_stand as stand
+import tests.support.controllers as controllers
+import tests.support.live as live
+import tests.support.proxy_stand as stand
 
 
 def row(id, zone, models, **more):
--- a/tests/live.py
+++ b/tests/support/live.py
@@ -15,7 +15,7 @@
 import basaltport.settings as settings
 
 BOUND = 30
-APPROVED = pathlib.Path(__file__).parent / "transcripts"
+APPROVED = pathlib.Path(__file__).parent.parent / "transcripts"
 
 
 class Watched(host.Host):
--- a/tests/model_word_mutations.py
+++ b/tests/support/model_word_mutations.py
@@ -4,7 +4,7 @@
 import basaltport.consensus.leadership as leadership
 import basaltport.consensus.quorum as quorum
 import basaltport.model.random_search as random_search
-import tests.model_mutations as model_mutations
+import tests.support.model_mutations as model_mutations
 
 Mutation = model_mutations.Mutation
 Rule = model_mutations.Rule
--- a/tests/request_cases.py
+++ b/tests/support/request_cases.py
@@ -6,9 +6,9 @@
 import enum
 import socket
 
-import tests.jumping_loop as jumping_loop
-import tests.proxy_stand as stand
-import tests.request_stand as request_stand
+import tests.support.jumping_loop as jumping_loop
+import tests.support.proxy_stand as stand
+import tests.support.request_stand as request_stand
 
 W = stand.W
 DEADLINE_MS = 1000
--- a/tests/request_checks.py
+++ b/tests/support/request_checks.py
@@ -6,8 +6,8 @@
 import enum
 import re
 
-import tests.request_cases as request_cases
-import tests.request_stand as request_stand
+import tests.support.request_cases as request_cases
+import tests.support.request_stand as request_stand
 
 W = request_stand.W
 HELD_MS = 250
--- a/tests/request_stand.py
+++ b/tests/support/request_stand.py
@@ -7,7 +7,7 @@
 import socket
 import struct
 
-import tests.proxy_stand as stand
+import tests.support.proxy_stand as stand
 
 W = stand.W
 LATE_MS = 60
--- a/tests/request_sweeps.py
+++ b/tests/support/request_sweeps.py
@@ -3,8 +3,8 @@
 import collections.abc
 import dataclasses
 
-import tests.request_cases as request_cases
-import tests.request_stand as request_stand
+import tests.support.request_cases as request_cases
+import tests.support.request_stand as request_stand
 
 Behaviour = request_stand.Behaviour
 Case = request_cases.Case
--- a/tests/request_world.py
+++ b/tests/support/request_world.py
@@ -11,7 +11,7 @@
 import basaltport.proxy.events as events
 import basaltport.proxy.attempt_outcome as attempt_outcome
 import basaltport.proxy.node as node
-import tests.proxy_stand as stand
+import tests.support.proxy_stand as stand
 
 Outcome = attempt_outcome.Outcome
 START_MS = 1_000_000
--- a/tests/slow_stand.py
+++ b/tests/support/slow_stand.py
@@ -8,8 +8,8 @@
 import tracemalloc
 import typing
 
-import tests.jumping_loop as jumping_loop
-import tests.proxy_stand as stand
+import tests.support.jumping_loop as jumping_loop
+import tests.support.proxy_stand as stand
 
 W = stand.W
 MIB = 1 << 20
--- a/tests/stored_forms.py
+++ b/tests/support/stored_forms.py
@@ -1,14 +1,14 @@
 """What earlier releases stored and sent, as documents: the contents of the files under tests/fixtures.
 
-`python -m tests.stored_forms` wrote those files with the code of the release before the state was typed. They
-are not written again: they stand for the disks and the peers that a newer release meets.
+`python -m tests.support.stored_forms` wrote those files with the code before the state was typed.
+They are not written again: they stand for the disks and the peers that a newer release meets.
 """
 
 import importlib
 import json
 import pathlib
 
-FIXTURES = pathlib.Path(__file__).parent / "fixtures"
+FIXTURES = pathlib.Path(__file__).parent.parent / "fixtures"
 DISKS = FIXTURES / "disks"
 FRAMES = FIXTURES / "frames"
 MEMBER = "first"
--- /dev/null
+++ b/tests/transport/__init__.py
@@ -0,0 +1,1 @@
+"""Frames and connections between members."""
--- a/tests/test_wires.py
+++ b/tests/transport/test_wires.py
@@ -16,7 +16,7 @@
 import basaltport.messages as messages
 import basaltport.identifiers as identifiers
 import basaltport.logs as logs
-import tests.live as live
+import tests.support.live as live
 
 pytestmark = pytest.mark.xdist_group("live")
 
