--- a/tests/controller/test_duties.py
+++ b/tests/controller/test_duties.py
@@ -37,7 +37,7 @@
         return got
 
     def ordered(self, now, order, outcome, took):
-        self.told.append((order, outcome))
+        self.notified.append((order, outcome))
         self.out.pop(order, None)
         return []
 
--- a/tests/simulation/test_scale.py
+++ b/tests/simulation/test_scale.py
@@ -8,6 +8,7 @@
 import pytest
 
 import basaltport.fleet.messages as messages
+import basaltport.consensus.state_machine as state_machine
 import basaltport.identifiers as identifiers
 import basaltport.placement.catalog as catalog
 import basaltport.configuration.routes as routes
@@ -64,7 +65,8 @@
 def test_going_back_is_told():
     class At:
         def __init__(self, serial, gen, n):
-            self.book, self.feed_gen, self.feed_n = {"serial": serial}, identifiers.Term(gen, "k"), n
+            state = state_machine.ClusterState(log_index=identifiers.LogIndex(serial))
+            self.book, self.feed_gen, self.feed_n = state, identifiers.Term(gen, "k"), n
             self.rows, self.proxies = {}, 1
 
     for back in (At(4, 2, 7), At(5, 1, 9), At(5, 2, 6)):
