--- a/basaltport/simulation/query_api/scenarios/mayhem.py
+++ b/basaltport/simulation/query_api/scenarios/mayhem.py
@@ -3,6 +3,7 @@
 import random
 import typing
 
+import basaltport.simulation.planned_fault as planned_fault
 import basaltport.simulation.query_api.plays as plays
 import basaltport.simulation.query_api.world.world as worlds
 import basaltport.simulation.query_api.world.world_base as world_base
@@ -18,21 +19,10 @@
 PEACE_MS = 5000
 
 
-class PlannedFault(typing.NamedTuple):
-    """A fault of a random schedule: two choices in 0 to 1, how long it lasts, and the pause after its
-    begin."""
-
-    kind: str
-    first: float
-    second: float
-    lasts_ms: int
-    pause_ms: int
-
-
 Fault = typing.Callable[[worlds.World, plays.Play, float, float, int], None]
 
 
-def schedule(seed: int) -> list[PlannedFault]:
+def schedule(seed: int) -> list[planned_fault.PlannedFault]:
     """The faults of a seed; they are drawn alone, so leaving one out moves no other."""
     rng = random.Random(f"mayhem-{seed}")
     planned = []
@@ -40,16 +30,10 @@
         first, second = rng.random(), rng.random()
         kind = rng.choice(sorted(KINDS))
         lasts_ms, pause_ms = rng.randrange(*LASTS_MS), rng.randrange(*PAUSE_MS)
-        planned.append(PlannedFault(kind, first, second, lasts_ms, pause_ms))
+        planned.append(planned_fault.PlannedFault(kind, first, second, lasts_ms, pause_ms))
     return planned
 
 
-def pick(names: typing.Iterable[str], point: float) -> str:
-    """The name at this point, from 0 to 1, of all in order."""
-    names = sorted(names)
-    return names[int(point * len(names))]
-
-
 def live(world: worlds.World) -> list[str]:
     """Nodes that run and are not frozen."""
     return [node.name for node in world.live() + world.live(world_base.LOG_NODE)]
@@ -59,14 +43,14 @@
     """A node loses power for a while; its disk goes only where all others run."""
     names = live(world)
     if len(names) > len(world.nodes) - UNTOUCHED_NODES:
-        name = pick(names, first)
+        name = planned_fault.pick(names, first)
         world.kill(name, power=True, disk=second < WIPED_SHARE and len(names) == len(world.nodes))
         world.later(min(ms, LINKS_MAX_MS), world.boot, name)
 
 
 def freeze(world: worlds.World, play: plays.Play, first: float, second: float, ms: int) -> None:
     """A node is frozen for a while."""
-    name = pick(live(world), first)
+    name = planned_fault.pick(live(world), first)
     world.freeze(name)
     world.later(ms, world.wake, name)
 
@@ -75,19 +59,19 @@
     """One or two nodes are cut off from all others; with `first` under a half links hold back what comes."""
     names = live(world)
     world.hold = HOLD_MS if first < HALF else None
-    world.split({pick(names, first), pick(names, second)})
+    world.split({planned_fault.pick(names, first), planned_fault.pick(names, second)})
     world.later(min(ms, LINKS_MAX_MS), world.heal)
 
 
 def one_way(world: worlds.World, play: plays.Play, first: float, second: float, ms: int) -> None:
     """Nothing passes from one node to another."""
-    world.cut(pick(live(world), first), pick(live(world), second), both=False)
+    world.cut(planned_fault.pick(live(world), first), planned_fault.pick(live(world), second), both=False)
     world.later(min(ms, LINKS_MAX_MS), world.heal)
 
 
 def crash(world: worlds.World, play: plays.Play, first: float, second: float, ms: int) -> None:
     """A replica ends and starts again."""
-    replica = pick(world.replicas, first)
+    replica = planned_fault.pick(world.replicas, first)
     if world.replicas[replica].mode == "up":
         world.crash_replica(replica)
         world.later(1000, world.start_replica, replica)
@@ -95,10 +79,10 @@
 
 def impaired(world: worlds.World, play: plays.Play, first: float, second: float, ms: int) -> None:
     """A replica is dark, sick or torn for a while."""
-    replica = world.replicas[pick(world.replicas, first)]
+    replica = world.replicas[planned_fault.pick(world.replicas, first)]
     if replica.mode != "up":
         return
-    replica.mode = pick(("dark", "sick", "torn"), second)
+    replica.mode = planned_fault.pick(("dark", "sick", "torn"), second)
     incarnation = replica.incarnation
 
     def recover() -> None:
@@ -111,15 +95,21 @@
 
 def leave(world: worlds.World, play: plays.Play, first: float, second: float, ms: int) -> None:
     """A replica leaves, and is listed again later."""
-    replica = pick(world.replicas, first)
-    world.ask(pick(live(world), second), "leaving", {"replica": replica, "change": f"leave-{play.elapsed()}"})
+    replica = planned_fault.pick(world.replicas, first)
+    world.ask(
+        planned_fault.pick(live(world), second),
+        "leaving",
+        {"replica": replica, "change": f"leave-{play.elapsed()}"},
+    )
 
     def listed(whole: bool) -> None:
         """The platform lists all, or all but this one."""
         rows = world.platform_list()
         rows = rows if whole else {name: row for name, row in rows.items() if name != replica}
         world.ask(
-            pick(live(world), second), "platform", {"replicas": rows, "change": f"list-{play.elapsed()}"}
+            planned_fault.pick(live(world), second),
+            "platform",
+            {"replicas": rows, "change": f"list-{play.elapsed()}"},
         )
 
     world.later(3000, listed, False)
@@ -128,26 +118,30 @@
 
 def empty(world: worlds.World, play: plays.Play, first: float, second: float, ms: int) -> None:
     """A zone is drained and taken back."""
-    zone = pick(world.configuration["zones"], first)
-    world.ask(pick(live(world), second), "drain", {"zone": zone, "change": f"drain-{play.elapsed()}"})
+    zone = planned_fault.pick(world.configuration["zones"], first)
+    world.ask(
+        planned_fault.pick(live(world), second), "drain", {"zone": zone, "change": f"drain-{play.elapsed()}"}
+    )
     world.later(
         3000,
         lambda: world.ask(
-            pick(live(world), second), "undrain", {"zone": zone, "change": f"undrain-{play.elapsed()}"}
+            planned_fault.pick(live(world), second),
+            "undrain",
+            {"zone": zone, "change": f"undrain-{play.elapsed()}"},
         ),
     )
 
 
 def stall(world: worlds.World, play: plays.Play, first: float, second: float, ms: int) -> None:
     """A disk stalls for a while."""
-    name = pick([node.name for node in world.nodes.values() if node.disk], first)
+    name = planned_fault.pick([node.name for node in world.nodes.values() if node.disk], first)
     world.stall(name, True)
     world.later(DISK_MS, world.stall, name, False)
 
 
 def full(world: worlds.World, play: plays.Play, first: float, second: float, ms: int) -> None:
     """A disk is full for a while."""
-    name = pick([node.name for node in world.nodes.values() if node.disk], first)
+    name = planned_fault.pick([node.name for node in world.nodes.values() if node.disk], first)
     world.fill(name, True)
     world.later(DISK_MS, world.fill, name, False)
 
@@ -199,7 +193,7 @@
     play.back_after()
 
 
-def shrink(seed: int, preset: str, rules: set[str]) -> list[PlannedFault]:
+def shrink(seed: int, preset: str, rules: set[str]) -> list[planned_fault.PlannedFault]:
     """The fewest faults (one by one left out) with which a run still breaks one of the rules."""
     skip: set[int] = set()
     for index in range(FAULTS):
--- a/basaltport/simulation/routes/mayhem.py
+++ b/basaltport/simulation/routes/mayhem.py
@@ -4,6 +4,7 @@
 import random
 import typing
 
+import basaltport.simulation.planned_fault as planned_fault
 import basaltport.simulation.routes.fleet_world as fleet_world
 import basaltport.simulation.routes.plays as plays
 import basaltport.simulation.routes.process_rows as process_rows
@@ -21,21 +22,10 @@
 PEACE_MS = 6000
 
 
-class PlannedFault(typing.NamedTuple):
-    """A fault of a random schedule: two choices in 0 to 1, how long it lasts, and the pause after its
-    begin."""
-
-    kind: str
-    first: float
-    second: float
-    lasts_ms: int
-    pause_ms: int
-
-
 Fault = typing.Callable[[fleet_world.World, float, float, int], None]
 
 
-def schedule(seed: int, name: str = "mayhem") -> list[PlannedFault]:
+def schedule(seed: int, name: str = "mayhem") -> list[planned_fault.PlannedFault]:
     """The faults of a seed; they are drawn alone, so leaving one out moves no other."""
     rng = random.Random(f"routes-{seed}")
     kinds = sorted(KINDS if name == "mayhem" else OUTSIDE)
@@ -44,16 +34,10 @@
         first, second = rng.random(), rng.random()
         kind = rng.choice(kinds)
         lasts_ms, pause_ms = rng.randrange(*LASTS_MS), rng.randrange(*PAUSE_MS)
-        planned.append(PlannedFault(kind, first, second, lasts_ms, pause_ms))
+        planned.append(planned_fault.PlannedFault(kind, first, second, lasts_ms, pause_ms))
     return planned
 
 
-def pick(names: typing.Iterable[str], point: float) -> str:
-    """The name at this point, from 0 to 1, of all in order."""
-    names = sorted(names)
-    return names[int(point * len(names))]
-
-
 def up(world: fleet_world.World, letters: str = "kp") -> list[str]:
     """Processes that run, by the first letters of their names: controllers `k`, proxies `p`."""
     return [
@@ -73,7 +57,7 @@
     all others run."""
     if len(up(world)) < len(world.nodes) - UNTOUCHED_PROCESSES:
         return
-    name = pick(up(world), first)
+    name = planned_fault.pick(up(world), first)
     controller = world.nodes[name].disk is not None
     wiped = controller and second < WIPED_SHARE and len(up(world, "k")) == len(world.core) and world.calm
     world.restart(name, controller and second < POWER_SHARE, wiped, after=ms)
@@ -83,7 +67,7 @@
     """A process is frozen for a while."""
     if len(up(world)) < len(world.nodes) - UNTOUCHED_PROCESSES:
         return
-    name = pick(up(world), first)
+    name = planned_fault.pick(up(world), first)
     world.freeze(name)
     world.later(ms, world.freeze, name, False)
 
@@ -93,7 +77,7 @@
     running = up(world)
     if not running:
         return
-    world.split({pick(running, first), pick(running, second)}, first < HALF)
+    world.split({planned_fault.pick(running, first), planned_fault.pick(running, second)}, first < HALF)
     world.later(ms, world.heal)
 
 
@@ -101,27 +85,27 @@
     """Nothing passes from one process to another; with the second under a half it is held back."""
     world.holding = second < HALF
     if up(world):
-        world.cut(pick(up(world), first), pick(up(world), second), both=False)
+        world.cut(planned_fault.pick(up(world), first), planned_fault.pick(up(world), second), both=False)
     world.later(ms, world.heal)
 
 
 def apart(world: fleet_world.World, first: float, second: float, ms: int) -> None:
     """A process and a replica can't reach each other."""
     if ready(world) and up(world):
-        world.cut(pick(up(world), first), pick(ready(world), second))
+        world.cut(planned_fault.pick(up(world), first), planned_fault.pick(ready(world), second))
         world.later(ms, world.heal)
 
 
 def crash(world: fleet_world.World, first: float, second: float, ms: int) -> None:
     """A replica ends without a word."""
     if len(ready(world)) > LEAST_REPLICAS:
-        world.crash_replica(pick(ready(world), first), 1000)
+        world.crash_replica(planned_fault.pick(ready(world), first), 1000)
 
 
 def dark(world: fleet_world.World, first: float, second: float, ms: int) -> None:
     """Nobody can reach a replica for a while."""
     if len(ready(world)) > LEAST_REPLICAS:
-        replica = pick(ready(world), first)
+        replica = planned_fault.pick(ready(world), first)
         world.dark(replica)
         world.later(ms, world.dark, replica, False)
 
@@ -129,7 +113,7 @@
 def internal_errors(world: fleet_world.World, first: float, second: float, ms: int) -> None:
     """A replica fails on most requests for a while."""
     if ready(world):
-        replica = world.replicas[pick(ready(world), first)]
+        replica = world.replicas[planned_fault.pick(ready(world), first)]
         replica.failing = 0.6
         world.later(ms, setattr, replica, "failing", 0.0)
 
@@ -137,13 +121,15 @@
 def release(world: fleet_world.World, first: float, second: float, ms: int) -> None:
     """A replica leaves in order, or with `second` under 0.4 at short notice."""
     if len(ready(world)) > LEAST_REPLICAS_TO_LEAVE:
-        world.release(pick(ready(world), first), NOTICE_MS if second < SHORT_NOTICE_SHARE else None)
+        world.release(
+            planned_fault.pick(ready(world), first), NOTICE_MS if second < SHORT_NOTICE_SHARE else None
+        )
 
 
 def reuse(world: fleet_world.World, first: float, second: float, ms: int) -> None:
     """A replica's address is soon that of another service's."""
     if len(ready(world)) > LEAST_REPLICAS_TO_LEAVE:
-        replica = world.replicas[pick(ready(world), first)]
+        replica = world.replicas[planned_fault.pick(ready(world), first)]
         world.crash_replica(replica.id, None)
         world.later(
             2000,
@@ -158,7 +144,7 @@
 
 def evacuate(world: fleet_world.World, first: float, second: float, ms: int) -> None:
     """A zone is evacuated for a while."""
-    zone = pick(world.zones, first)
+    zone = planned_fault.pick(world.zones, first)
     world.evacuate(zone)
     world.later(ms + 3000, world.readmit, zone)
 
@@ -175,7 +161,7 @@
 
 def stall(world: fleet_world.World, first: float, second: float, ms: int) -> None:
     """A controller's disk stalls for a while."""
-    name = pick(world.core, first)
+    name = planned_fault.pick(world.core, first)
     world.stall(name)
     world.later(ms, unstall, world, name)
 
@@ -189,19 +175,19 @@
 def replace(world: fleet_world.World, first: float, second: float, ms: int) -> None:
     """A controller is replaced by an empty one."""
     if len(up(world, "k")) == len(world.core) and world.calm:
-        world.replace(pick(world.core, first))
+        world.replace(planned_fault.pick(world.core, first))
 
 
 def roll(world: fleet_world.World, first: float, second: float, ms: int) -> None:
     """A proxy is restarted in order."""
     if up(world, "p"):
-        world.stop_proxy(pick(up(world, "p"), first))
+        world.stop_proxy(planned_fault.pick(up(world, "p"), first))
 
 
 def rare(world: fleet_world.World, first: float, second: float, ms: int) -> None:
     """What is rarely wanted is requested."""
     for model in list(world.mb)[-RARE_MODELS:]:
-        world.start_operation("safe", model, pick(world.zones, second))
+        world.start_operation("safe", model, planned_fault.pick(world.zones, second))
 
 
 def lossy(world: fleet_world.World, first: float, second: float, ms: int) -> None:
@@ -226,26 +212,26 @@
 def hand_over(world: fleet_world.World, first: float, second: float, ms: int) -> None:
     """A controller is stopped in good order."""
     if len(up(world, "k")) == len(world.core):
-        world.stop_controller(pick(world.core, first), ms)
+        world.stop_controller(planned_fault.pick(world.core, first), ms)
 
 
 def apart_from_proxies(world: fleet_world.World, first: float, second: float, ms: int) -> None:
     """A proxy and a replica can't reach each other."""
     if ready(world) and up(world, "p"):
-        world.cut(pick(up(world, "p"), first), pick(ready(world), second))
+        world.cut(planned_fault.pick(up(world, "p"), first), planned_fault.pick(ready(world), second))
         world.later(ms, world.heal)
 
 
 def kill_proxy(world: fleet_world.World, first: float, second: float, ms: int) -> None:
     """A proxy is killed and comes back."""
     if len(up(world, "p")) > LEAST_PROXIES:
-        world.restart(pick(up(world, "p"), first), after=ms)
+        world.restart(planned_fault.pick(up(world, "p"), first), after=ms)
 
 
 def freeze_proxy(world: fleet_world.World, first: float, second: float, ms: int) -> None:
     """A proxy is frozen for a while."""
     if len(up(world, "p")) > LEAST_PROXIES:
-        name = pick(up(world, "p"), first)
+        name = planned_fault.pick(up(world, "p"), first)
         world.freeze(name)
         world.later(ms, world.freeze, name, False)
 
@@ -293,7 +279,7 @@
     play.back(0.9)
 
 
-def shrink(name: str, seed: int, preset: str, rules: set[str]) -> list[PlannedFault]:
+def shrink(name: str, seed: int, preset: str, rules: set[str]) -> list[planned_fault.PlannedFault]:
     """The fewest faults (one by one left out) with which a run still breaks one of the rules."""
     skip: set[int] = set()
     for index in range(FAULTS):
